--- a/crates/behavior-digest/src/platform_protocol.rs
+++ b/crates/behavior-digest/src/platform_protocol.rs
@@ -307,7 +307,7 @@
                     }
                 }
                 Transmit::Wait | Transmit::CloseWriteHalf => return,
-                Transmit::CloseIfQuiet => return self.ends(conn, true),
+                Transmit::CloseIfNoUnreadBytes => return self.ends(conn, true),
                 Transmit::Close => return self.forget(conn),
             }
         }
@@ -322,7 +322,7 @@
             }
             Transmit::Wait => self.encoder.begin_output(11),
             Transmit::CloseWriteHalf => self.encoder.begin_output(12),
-            Transmit::CloseIfQuiet => self.encoder.begin_output(13),
+            Transmit::CloseIfNoUnreadBytes => self.encoder.begin_output(13),
             Transmit::Close => self.encoder.begin_output(14),
         }
     }
--- a/crates/director-config/src/driver_limits.rs
+++ b/crates/director-config/src/driver_limits.rs
@@ -13,7 +13,7 @@
     /// Connections without traffic are closed by the other side after this.
     pub idle_timeout: Option<TimeDelta>,
     /// The longest that a viewer of any class waits for its answer.
-    pub longest_wait: Option<TimeDelta>,
+    pub max_viewer_wait: Option<TimeDelta>,
     /// Requests that may be open at once.
     pub max_open_requests: usize,
 }
@@ -23,7 +23,7 @@
         DriverLimits {
             connect_timeout: None,
             idle_timeout: None,
-            longest_wait: None,
+            max_viewer_wait: None,
             max_open_requests: usize::MAX,
         }
     }
@@ -31,9 +31,9 @@
 
 impl DriverLimits {
     pub(crate) fn read(object: SettingsObject<'_>) -> Result<DriverLimits, SettingError> {
-        let mut longest_wait = TimeDelta::ZERO;
+        let mut max_viewer_wait = TimeDelta::ZERO;
         for class in object.objects("Categories")? {
-            longest_wait = longest_wait.max(class.time_delta("GiveUp")?);
+            max_viewer_wait = max_viewer_wait.max(class.time_delta("GiveUp")?);
         }
         let connect_timeout = object.time_delta("Limits.ConnectTimeout")?;
         let idle_timeout = object.time_delta("Limits.ConnIdle")?;
@@ -41,7 +41,7 @@
         Ok(DriverLimits {
             connect_timeout: above_zero(connect_timeout),
             idle_timeout: above_zero(idle_timeout),
-            longest_wait: above_zero(longest_wait),
+            max_viewer_wait: above_zero(max_viewer_wait),
             max_open_requests: max_open_requests.map_or(usize::MAX, |count| count as usize),
         })
     }
--- a/crates/director-config/src/error.rs
+++ b/crates/director-config/src/error.rs
@@ -30,11 +30,11 @@
     #[error("is not a list")]
     NotAList,
     /// A list of numbers was expected.
-    #[error("holds something that is not a number")]
+    #[error("contains an element that is not a number")]
     ElementNotANumber,
     /// A list of names was expected.
-    #[error("holds something that is not a name")]
-    ElementNotAName,
+    #[error("contains an element that is not a string")]
+    ElementNotAString,
 }
 
 impl SettingError {
--- a/crates/director-config/src/lib.rs
+++ b/crates/director-config/src/lib.rs
@@ -27,4 +27,4 @@
 pub use load_report::apply_load_value;
 pub use names::Names;
 pub use title::title_id;
-pub use units::{FARTHEST_MICROS, time_delta_from_millis};
+pub use units::{MAX_TIME_MICROS, time_delta_from_millis};
--- a/crates/director-config/src/settings_object.rs
+++ b/crates/director-config/src/settings_object.rs
@@ -89,9 +89,9 @@
 
     /// A list of names; an absent one is empty.
     pub fn texts(self, path: &str) -> Result<Vec<String>, SettingError> {
-        let not_a_name = || SettingError::new(path, SettingProblem::ElementNotAName);
+        let not_a_string = || SettingError::new(path, SettingProblem::ElementNotAString);
         let list = self.list(path)?.iter();
-        list.map(|value| value.as_str().map(str::to_string).ok_or_else(not_a_name))
+        list.map(|value| value.as_str().map(str::to_string).ok_or_else(not_a_string))
             .collect()
     }
 
--- a/crates/director-config/tests/settings_object.rs
+++ b/crates/director-config/tests/settings_object.rs
@@ -126,7 +126,7 @@
     let driver_limits = DriverLimits {
         connect_timeout: Some(micros(260_500)),
         idle_timeout: Some(micros(15_000_000)),
-        longest_wait: Some(micros(2_250_250)),
+        max_viewer_wait: Some(micros(2_250_250)),
         max_open_requests: 900,
     };
     assert_eq!(config.driver_limits, driver_limits);
@@ -162,7 +162,7 @@
     let driver_limits = DriverLimits {
         connect_timeout: None,
         idle_timeout: None,
-        longest_wait: None,
+        max_viewer_wait: None,
         max_open_requests: usize::MAX,
     };
     let names = Names {
@@ -236,12 +236,12 @@
         (
             "/Shapes/0",
             Some(json!(1)),
-            "Setup.Shapes: holds something that is not a name",
+            "Setup.Shapes: contains an element that is not a string",
         ),
         (
             "/Specifics/RungKb/2",
             Some(json!(null)),
-            "Setup.Specifics.RungKb: holds something that is not a number",
+            "Setup.Specifics.RungKb: contains an element that is not a number",
         ),
         (
             "/Specifics/Live",
--- a/crates/director-config/tests/values.rs
+++ b/crates/director-config/tests/values.rs
@@ -2,7 +2,7 @@
 
 use shalewall::{LoadReport, TimeDelta, TitleId};
 use shalewall_director_config::{
-    FARTHEST_MICROS, Names, apply_load_value, time_delta_from_millis, title_id,
+    MAX_TIME_MICROS, Names, apply_load_value, time_delta_from_millis, title_id,
 };
 
 #[test]
@@ -11,8 +11,8 @@
         (1.2345, 1_235),
         (-0.25, -250),
         (f64::NAN, 0),
-        (f64::INFINITY, FARTHEST_MICROS),
-        (-1e300, -FARTHEST_MICROS),
+        (f64::INFINITY, MAX_TIME_MICROS),
+        (-1e300, -MAX_TIME_MICROS),
     ] {
         assert_eq!(
             time_delta_from_millis(millis),
--- a/crates/platform-proto/src/director_protocol/maintenance.rs
+++ b/crates/platform-proto/src/director_protocol/maintenance.rs
@@ -34,7 +34,7 @@
         }
         self.viewers.expire_releases(self.now);
         for id in self.viewers.stale(self.now) {
-            self.close_viewer_if_quiet(id);
+            self.close_viewer_if_no_unread_bytes(id);
         }
     }
 
--- a/crates/platform-proto/src/director_protocol/node_events.rs
+++ b/crates/platform-proto/src/director_protocol/node_events.rs
@@ -82,7 +82,7 @@
                 self.handle_node_answer(id, wire_id, answer_status, message);
             }
             StartLine::Request(method) if method == "TEARDOWN" => {
-                let confirmation = encode::release_received(wire_id);
+                let confirmation = encode::release_response(wire_id);
                 self.enqueue_to_node(id, OutgoingMessage::Encoded(confirmation));
                 self.handle_teardown(id, server, wire_id, message);
             }
--- a/crates/platform-proto/src/director_protocol/transmit.rs
+++ b/crates/platform-proto/src/director_protocol/transmit.rs
@@ -37,7 +37,7 @@
         match self.viewers.close_state(id) {
             None => Transmit::Close,
             Some(ViewerCloseState::HalfClosed) => Transmit::CloseWriteHalf,
-            Some(ViewerCloseState::CloseIfQuiet) => Transmit::CloseIfQuiet,
+            Some(ViewerCloseState::CloseIfNoUnreadBytes) => Transmit::CloseIfNoUnreadBytes,
             Some(ViewerCloseState::Open) => Transmit::Wait,
         }
     }
--- a/crates/platform-proto/src/director_protocol/viewer_events.rs
+++ b/crates/platform-proto/src/director_protocol/viewer_events.rs
@@ -17,14 +17,14 @@
         self.now = now;
         let accepted = self.viewers.accept(address, now)?;
         if let Some(unused) = accepted.evict {
-            self.close_viewer_if_quiet(unused);
+            self.close_viewer_if_no_unread_bytes(unused);
         }
         Some(accepted.id.into())
     }
 
     /// Closes a connection that is of no use, if nothing of it waits unread.
-    pub(super) fn close_viewer_if_quiet(&mut self, id: ViewerId) {
-        self.viewers.close_if_quiet(id);
+    pub(super) fn close_viewer_if_no_unread_bytes(&mut self, id: ViewerId) {
+        self.viewers.close_if_no_unread_bytes(id);
         self.outputs.write(id);
     }
 
--- a/crates/platform-proto/src/endpoint_watch.rs
+++ b/crates/platform-proto/src/endpoint_watch.rs
@@ -9,7 +9,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The service sends a frame each second. After so long without a whole one it is asked again on a new connection.
-pub const SILENCE_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_200);
+pub const FRAME_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_200);
 
 const LENGTH_BYTES: usize = 4;
 /// Number and kind, which the length counts.
--- a/crates/platform-proto/src/output.rs
+++ b/crates/platform-proto/src/output.rs
@@ -45,7 +45,7 @@
     /// Close this side's half. What is received still counts.
     CloseWriteHalf,
     /// Close it if nothing waits to be read; else pass on what has been received.
-    CloseIfQuiet,
+    CloseIfNoUnreadBytes,
     /// Close it.
     Close,
 }
--- a/crates/platform-proto/src/rtsp/encode.rs
+++ b/crates/platform-proto/src/rtsp/encode.rs
@@ -77,7 +77,7 @@
 }
 
 /// Confirms the release of a session.
-pub fn release_received(session: HexId) -> Vec<u8> {
+pub fn release_response(session: HexId) -> Vec<u8> {
     format!(
         "RTSP/1.0 200 OK\r\nCSeq: {CSEQ_TEARDOWN}\r\nSession: {session}\r\nContent-Length: 0\r\n\r\n"
     )
--- a/crates/platform-proto/src/timeouts.rs
+++ b/crates/platform-proto/src/timeouts.rs
@@ -29,7 +29,7 @@
         let connect = limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT);
         let idle = limits.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let longest_deadline = limits
-            .longest_wait
+            .max_viewer_wait
             .unwrap_or(MAX_SHUTDOWN_DEADLINE)
             .min(MAX_SHUTDOWN_DEADLINE);
         let max_idle_micros = (idle.as_micros() as f64 * IDLE_TIMEOUT_FRACTION) as i64;
--- a/crates/platform-proto/src/viewer_connection.rs
+++ b/crates/platform-proto/src/viewer_connection.rs
@@ -41,7 +41,7 @@
 pub(crate) enum ViewerCloseState {
     Open,
     /// To be closed if nothing of it waits unread.
-    CloseIfQuiet,
+    CloseIfNoUnreadBytes,
     /// All is written; this side's half is to be closed.
     HalfClosed,
 }
@@ -64,7 +64,7 @@
     /// Since when it is being closed.
     closing_since: Option<Timestamp>,
     ignored_bytes: usize,
-    close_if_quiet: bool,
+    close_if_no_unread_bytes: bool,
 }
 
 impl ViewerConnection {
@@ -83,7 +83,7 @@
             partial_since: None,
             closing_since: None,
             ignored_bytes: 0,
-            close_if_quiet: false,
+            close_if_no_unread_bytes: false,
         }
     }
 
@@ -99,7 +99,7 @@
 
     pub(crate) fn receive(&mut self, bytes: &[u8], now: Timestamp) {
         self.last_received_at = now;
-        self.close_if_quiet = false;
+        self.close_if_no_unread_bytes = false;
         self.decoder.push(bytes);
     }
 
@@ -226,8 +226,8 @@
     }
 
     /// Closes it if nothing of it waits unread: what its viewer sent before it could know of the close is served.
-    pub(crate) fn close_if_quiet(&mut self) {
-        self.close_if_quiet = true;
+    pub(crate) fn close_if_no_unread_bytes(&mut self) {
+        self.close_if_no_unread_bytes = true;
     }
 
     pub(crate) fn is_closing(&self) -> bool {
@@ -237,8 +237,8 @@
     pub(crate) fn close_state(&self) -> ViewerCloseState {
         if self.is_closing() {
             ViewerCloseState::HalfClosed
-        } else if self.close_if_quiet {
-            ViewerCloseState::CloseIfQuiet
+        } else if self.close_if_no_unread_bytes {
+            ViewerCloseState::CloseIfNoUnreadBytes
         } else {
             ViewerCloseState::Open
         }
@@ -261,7 +261,7 @@
         self.pending_requests.is_empty()
             && self.active_sessions.is_empty()
             && !self.has_pending_writes()
-            && !self.close_if_quiet
+            && !self.close_if_no_unread_bytes
     }
 
     /// Which unused connection is closed first: one that has sent no message, then the one not used for longest.
@@ -271,7 +271,10 @@
 
     /// Whether it has been idle or silent for too long.
     pub(crate) fn is_stale(&self, now: Timestamp) -> bool {
-        if !self.pending_requests.is_empty() || self.has_pending_writes() || self.close_if_quiet {
+        if !self.pending_requests.is_empty()
+            || self.has_pending_writes()
+            || self.close_if_no_unread_bytes
+        {
             return false;
         }
         let message_is_overdue = |since: Timestamp| now - since >= MESSAGE_TIMEOUT;
--- a/crates/platform-proto/src/viewer_connections.rs
+++ b/crates/platform-proto/src/viewer_connections.rs
@@ -130,9 +130,9 @@
     }
 
     /// Closes a connection if nothing of it waits unread.
-    pub(crate) fn close_if_quiet(&mut self, id: ViewerId) {
+    pub(crate) fn close_if_no_unread_bytes(&mut self, id: ViewerId) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.close_if_quiet();
+            connection.close_if_no_unread_bytes();
         }
     }
 
--- a/crates/platform-proto/tests/common/mod.rs
+++ b/crates/platform-proto/tests/common/mod.rs
@@ -136,8 +136,10 @@
                 }
                 Transmit::Wait => return,
                 Transmit::CloseWriteHalf => return self.half_closed.push(connection),
-                Transmit::CloseIfQuiet if self.with_unread_bytes.contains(&connection) => return,
-                Transmit::CloseIfQuiet => return self.close(connection, true),
+                Transmit::CloseIfNoUnreadBytes if self.with_unread_bytes.contains(&connection) => {
+                    return;
+                }
+                Transmit::CloseIfNoUnreadBytes => return self.close(connection, true),
                 Transmit::Close => return self.closed.push(connection),
             }
         }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -181,8 +181,8 @@
                     return future::pending().await;
                 }
                 // Unread bytes are read in their turn.
-                Transmit::CloseIfQuiet if self.has_unread_bytes() => write_ready.await,
-                Transmit::CloseIfQuiet | Transmit::Close => return Ok(()),
+                Transmit::CloseIfNoUnreadBytes if self.has_unread_bytes() => write_ready.await,
+                Transmit::CloseIfNoUnreadBytes | Transmit::Close => return Ok(()),
             }
         }
     }
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -7,7 +7,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use shalewall_clock::{now, to_duration};
 use shalewall_http::client::in_time;
-use shalewall_platform_proto::endpoint_watch::{FrameDecoder, SILENCE_TIMEOUT};
+use shalewall_platform_proto::endpoint_watch::{FRAME_TIMEOUT, FrameDecoder};
 use shalewall_platform_proto::error::EndpointWatchError;
 use std::cell::Cell;
 use std::io;
@@ -152,10 +152,10 @@
 
     /// Reads frames until the service closes the connection.
     async fn read_until_end(&mut self) -> Result<(), WatchError> {
-        let silence_timeout = to_duration(SILENCE_TIMEOUT);
+        let frame_timeout = to_duration(FRAME_TIMEOUT);
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
-            let remaining = silence_timeout.saturating_sub(self.last_frame_at.elapsed());
+            let remaining = frame_timeout.saturating_sub(self.last_frame_at.elapsed());
             let read = in_time(remaining, self.stream.read(&mut buffer)).await;
             let count = read.ok_or(WatchError::Silent)?.map_err(WatchError::Read)?;
             if count == 0 {
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -6,7 +6,7 @@
 use shalewall::{
     EndpointUpdate, Event, Notification, Request, ServerId, SessionId, TimeDelta, Timestamp,
 };
-use shalewall_director_config::{FARTHEST_MICROS, Names, title_id};
+use shalewall_director_config::{MAX_TIME_MICROS, Names, title_id};
 
 /// Bit of a request's marks: its duration hint is given.
 const MARK_HAS_DURATION: u64 = 1;
@@ -182,7 +182,7 @@
         tenant: tenant.and_then(|name| names.tenant_index(name)),
         viewer,
         title,
-        deadline: deadline.unwrap_or(Timestamp::from_micros(FARTHEST_MICROS)),
+        deadline: deadline.unwrap_or(Timestamp::from_micros(MAX_TIME_MICROS)),
         duration_hint: duration_hint.filter(|_| marks & MARK_HAS_DURATION != 0),
         first_cell,
         replica_cells,
