--- a/crates/platform-proto/tests/attempts.rs
+++ b/crates/platform-proto/tests/attempts.rs
@@ -1,24 +1,24 @@
-//! Attempts at media nodes: which one may follow which, and what an answer counts for.
+//! Attempts at media nodes: their order, and how answers are handled.
 
 mod common;
-use common::{Harness, MS, NODE, START, endpoint_entry, set_up_answer, set_up_refusal};
+use common::{Harness, MILLISECOND, NODE, START, endpoint_entry, set_up_answer, set_up_refusal};
 use shalewall::EndpointState::Gone;
 use shalewall_platform_proto::endpoint_watch::{Frame, FrameDecoder};
 use shalewall_platform_proto::{ConnectError, ConnectionId};
 
-/// Two sockets are written in any order: an attempt's cancellation must be written before the next attempt, or both are
-/// open.
+/// Two sockets may be written in any order: unless an attempt's cancellation is written before the next attempt, both
+/// are open at once.
 #[test]
 fn the_next_attempt_waits_for_the_cancellation() {
     let mut harness = Harness::new();
     let (_, slow) = harness.start_attempt(7, "free");
     assert!(harness.take_written(slow).starts_with("SETUP"));
     harness.blocked.insert(slow);
-    harness.advance(600 * MS);
+    harness.advance(600 * MILLISECOND);
     let next = harness.connect_next();
     assert!(
         harness.take_written(next).is_empty(),
-        "set up while the first is out"
+        "the first attempt is not cancelled yet"
     );
     harness.blocked.clear();
     harness.write(slow);
@@ -26,20 +26,20 @@
     harness.process_outputs();
     assert!(
         harness.take_written(next).starts_with("SETUP"),
-        "the way is free"
+        "the first attempt is cancelled"
     );
-    // Where the connection ends, that cancels its set-ups.
+    // Closing the connection cancels its set-ups.
     let mut harness = Harness::new();
     let (_, slow) = harness.start_attempt(7, "free");
     harness.blocked.insert(slow);
-    harness.advance(600 * MS);
+    harness.advance(600 * MILLISECOND);
     let next = harness.connect_next();
     harness.close(slow, false);
     assert!(harness.take_written(next).starts_with("SETUP"));
 }
 
-/// Establishes all connections; how many set-ups were written on others than that one.
-fn count_set_ups_elsewhere(harness: &mut Harness, than: ConnectionId) -> usize {
+/// Establishes all connections; returns the number of set-ups that were written on connections other than `excluded`.
+fn count_set_ups_elsewhere(harness: &mut Harness, excluded: ConnectionId) -> usize {
     for connection in harness
         .node_connections
         .keys()
@@ -52,32 +52,32 @@
     harness
         .written
         .iter()
-        .filter(|(c, said)| **c != than && said.contains("SETUP"))
+        .filter(|(c, text)| **c != excluded && text.contains("SETUP"))
         .count()
 }
 
-/// A cancellation that is half written: the next attempt does not wait for it.
+/// The next attempt does not wait for a cancellation that can't be written completely.
 #[test]
 fn a_half_written_cancellation_blocks_no_attempt() {
-    // The socket takes nothing: closing cancels as well.
+    // The socket accepts nothing: closing the connection cancels as well.
     let mut harness = Harness::new();
     let (_, slow) = harness.start_attempt(7, "free");
     harness.refusing_writes.insert(slow);
-    harness.advance(600 * MS);
+    harness.advance(600 * MILLISECOND);
     assert!(harness.closed.contains(&slow));
     assert_eq!(count_set_ups_elsewhere(&mut harness, slow), 1);
-    // It takes half, and no more.
+    // The socket accepts half of the message, and no more.
     let mut harness = Harness::new();
     let (_, slow) = harness.start_attempt(7, "free");
     harness.take_written(slow);
-    harness.taking_half.insert(slow);
-    harness.advance(600 * MS);
+    harness.writing_partially.insert(slow);
+    harness.advance(600 * MILLISECOND);
     assert!(harness.closed.contains(&slow));
     assert_eq!(count_set_ups_elsewhere(&mut harness, slow), 1);
 }
 
-/// The same where sessions are active at the node, so that its connections are half-closed: one on which a cancellation is
-/// being written is not idle.
+/// If sessions are active at the node, its idle connections are half-closed. One on which a cancellation is being
+/// written is not idle.
 #[test]
 fn a_connection_writing_a_cancellation_is_not_idle() {
     let mut harness = Harness::new();
@@ -100,13 +100,13 @@
         (second, 8)
     };
     harness.written.clear();
-    harness.taking_half.insert(node);
-    harness.advance(600 * MS);
+    harness.writing_partially.insert(node);
+    harness.advance(600 * MILLISECOND);
     assert!(
         harness
             .written
             .get(&node)
-            .is_some_and(|said| said.starts_with("TEARDOWN")),
+            .is_some_and(|text| text.starts_with("TEARDOWN")),
         "{server}"
     );
     for connection in harness
@@ -118,23 +118,23 @@
     {
         harness.connect(connection);
     }
-    harness.advance(900 * MS);
+    harness.advance(900 * MILLISECOND);
     let next = harness
         .written
         .values()
-        .filter(|said| said.contains("SETUP") && said.contains("0000000000000009"));
+        .filter(|text| text.contains("SETUP") && text.contains("0000000000000009"));
     assert_eq!(next.count(), 1, "{:?}", harness.written);
 }
 
-/// A node rejects a set-up and accepts it some milliseconds later, while the next attempt is open elsewhere: that session is
-/// released. A duplicate of an answer is ignored.
+/// A node rejects a set-up and accepts it some milliseconds later, while the next attempt is open at another node: that
+/// session is released. A duplicate answer is ignored.
 #[test]
 fn a_session_answered_after_its_rejection_is_released() {
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_attempt(7, "free");
     harness.take_written(node);
     harness.receive(node, set_up_refusal(7, 500));
-    harness.advance(3 * MS);
+    harness.advance(3 * MILLISECOND);
     harness.receive(node, set_up_answer(7, "there"));
     let received = harness.take_written(node);
     assert!(
@@ -147,7 +147,7 @@
     assert!(harness.take_written(viewer).contains(r#""blob":"here""#));
     harness.receive(next, set_up_answer(7, "here"));
     assert!(harness.take_written(viewer).is_empty() && harness.take_written(next).is_empty());
-    // The same when its viewer has had its answer.
+    // The same after its viewer was answered.
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_attempt(7, "paid");
     harness.receive(node, set_up_refusal(7, 504));
@@ -158,7 +158,8 @@
     assert!(harness.take_written(viewer).is_empty());
 }
 
-/// An answer behind a rejection, while the same node has the session's next attempt or the session: a release would end that.
+/// A late answer after a rejection must not release the session if the same node has its next attempt, or the session
+/// itself.
 #[test]
 fn a_late_answer_releases_no_session_of_the_same_node() {
     let mut harness = Harness::new();
@@ -171,24 +172,25 @@
     );
     harness.take_written(node);
     harness.receive(node, set_up_refusal(7, 454));
-    harness.advance(50 * MS);
-    let again = harness.written.values().any(|said| said.contains("SETUP"));
+    harness.advance(50 * MILLISECOND);
+    let is_retried = harness.written.values().any(|text| text.contains("SETUP"));
     harness.receive(node, set_up_answer(7, "there"));
-    let ended = harness
+    let is_released = harness
         .written
         .values()
-        .any(|said| said.contains("TEARDOWN"));
+        .any(|text| text.contains("TEARDOWN"));
     assert!(
-        again != ended,
-        "set up there again: {again}, released: {ended}"
+        is_retried != is_released,
+        "retried at the same node: {is_retried}, released: {is_released}"
     );
 }
 
-/// Before a set-up is written whole it was not executed, and a paid one is retried elsewhere; after that it may have been.
+/// A set-up that is not completely written was not executed, so a paid one is retried at another node. After that it
+/// may have been executed.
 #[test]
 fn a_paid_set_up_is_retried_only_if_not_executed() {
-    type Break = fn(&mut Harness, ConnectionId);
-    let breaks: [(Break, bool); 6] = [
+    type Failure = fn(&mut Harness, ConnectionId);
+    let failures: [(Failure, bool); 6] = [
         (
             |harness, connection| harness.fail_connect(connection, ConnectError::Refused),
             true,
@@ -197,7 +199,7 @@
             |harness, connection| harness.fail_connect(connection, ConnectError::Unreachable),
             true,
         ),
-        // Established, and closed before the first byte; between the first and the last.
+        // Established, and closed before the first byte; or between the first and the last.
         (
             |harness, connection| {
                 harness.refusing_writes.insert(connection);
@@ -208,13 +210,13 @@
         ),
         (
             |harness, connection| {
-                harness.taking_half.insert(connection);
+                harness.writing_partially.insert(connection);
                 harness.connect(connection);
                 harness.close(connection, false);
             },
             true,
         ),
-        // Written whole: closed, or broken, before the answer.
+        // Completely written: closed, or broken, before the answer.
         (
             |harness, connection| {
                 harness.connect(connection);
@@ -230,12 +232,12 @@
             false,
         ),
     ];
-    for (n, (breaks, again)) in breaks.into_iter().enumerate() {
+    for (index, (fail, is_retried)) in failures.into_iter().enumerate() {
         let mut harness = Harness::new();
         let viewer = harness.connect_viewer();
         harness.request(viewer, 7, "paid");
         let connection = *harness.node_connections.keys().next().unwrap();
-        breaks(&mut harness, connection);
+        fail(&mut harness, connection);
         for next in harness
             .node_connections
             .keys()
@@ -245,30 +247,35 @@
         {
             harness.connect(next);
         }
-        harness.advance(100 * MS);
+        harness.advance(100 * MILLISECOND);
         let set_ups = harness
             .written
             .iter()
-            .filter(|(c, said)| **c != connection && said.contains("SETUP"))
+            .filter(|(c, text)| **c != connection && text.contains("SETUP"))
             .count();
-        assert_eq!(set_ups, usize::from(again), "{n}");
+        assert_eq!(set_ups, usize::from(is_retried), "case {index}");
         let received = harness.take_written(viewer);
-        assert_eq!(received.contains(r#""rc":41"#), !again, "{n}: {received}");
+        assert_eq!(
+            received.contains(r#""rc":41"#),
+            !is_retried,
+            "case {index}: {received}"
+        );
     }
 }
 
-/// An answer whose length does not fit is not passed on.
+/// An answer with a wrong content length, or with a description that is not UTF-8, is not forwarded.
 #[test]
-fn a_malformed_answer_is_not_passed_on() {
-    let odd: [&[u8]; 5] = [
-        // Seen once in some thousand drawn cases: what a length one too small leaves is an empty line.
+fn a_malformed_answer_is_not_forwarded() {
+    let malformed: [&[u8]; 5] = [
+        // A content length that is one too small leaves a line feed, which is an empty first line. About one in a
+        // thousand random cases.
         b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000007\r\nContent-Length: 6\r\n\r\nthere\r\n",
         b"RTSP/1.0 200 OK\r\nContent-Length: -4\r\nCSeq: 1\r\nSession: 0000000000000007\r\nContent-Length: 5\r\n\r\nthere",
         b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000007\r\nContent-Length: 3\r\n\r\nthere\r\n",
         b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000007\r\nContent-Length: 3221225472\r\n\r\nthere",
         b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0000000000000007\r\nContent-Length: 5\r\n\r\nth\xff\xffe",
     ];
-    for bytes in odd {
+    for bytes in malformed {
         let mut harness = Harness::new();
         let (viewer, node) = harness.start_attempt(7, "paid");
         harness.receive(node, bytes);
@@ -281,7 +288,7 @@
     }
 }
 
-/// The node was listed as draining while the connection was being established.
+/// A node is listed as draining while a connection to it is being established: the set-up goes to the other node.
 #[test]
 fn a_set_up_is_checked_again_before_its_first_byte() {
     let mut harness = Harness::new();
@@ -320,7 +327,7 @@
     let mut frames = FrameDecoder::default();
     frames.push(&bytes);
     let Ok(Some(frame @ Frame::Event(_))) = frames.frame() else {
-        panic!("not read")
+        panic!("the frame is not decoded")
     };
     harness.protocol.handle_watch_frame(START, &frame).unwrap();
     harness.connect(first);
@@ -328,11 +335,11 @@
     let other = harness.connect_next();
     assert!(
         harness.take_written(other).contains("SETUP"),
-        "it goes to the other node"
+        "the set-up is sent to the other node"
     );
 }
 
-/// What the module rejects is answered at once, with the time to wait before a retry.
+/// A request that the decision module rejects is answered at once, with the time to wait before a retry.
 #[test]
 fn a_rejection_is_immediate_with_retry_after() {
     let mut harness = Harness::new();
@@ -349,15 +356,15 @@
     );
 }
 
-/// The answer comes in time though its node is stalled, and the set-up is cancelled there.
+/// The viewer is answered by its deadline although the node is stalled, and the set-up is cancelled at the node.
 #[test]
 fn a_stalled_node_delays_no_answer() {
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_attempt(7, "paid");
     harness.take_written(node);
-    harness.advance(1400 * MS);
+    harness.advance(1400 * MILLISECOND);
     assert!(harness.take_written(viewer).is_empty());
-    harness.advance(100 * MS);
+    harness.advance(100 * MILLISECOND);
     assert!(harness.take_written(viewer).contains(r#""rc":41"#));
     assert!(harness.take_written(node).contains("TEARDOWN"));
     harness.receive(node, set_up_answer(7, "there"));
--- a/crates/platform-proto/tests/common/mod.rs
+++ b/crates/platform-proto/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A protocol with two nodes, its connections and what is written on them, without sockets.
-#![allow(dead_code)] // each test file uses a part of it
+//! A test harness without sockets: a director with two nodes, its connections and the bytes written on them.
+#![allow(dead_code)] // Each test file uses only part of it.
 
 use shalewall::{Endpoint, EndpointState, ServerId, TimeDelta, Timestamp};
 use shalewall_platform_proto::config::Config;
@@ -11,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-pub const MS: TimeDelta = TimeDelta::from_millis(1);
-pub const S: TimeDelta = TimeDelta::from_secs(1);
-/// Any time of the clock.
+pub const MILLISECOND: TimeDelta = TimeDelta::from_millis(1);
+pub const SECOND: TimeDelta = TimeDelta::from_secs(1);
+/// An arbitrary start time.
 pub const START: Timestamp = Timestamp::from_micros(1_700_000_000_000_000);
 
 pub const NODE: [&str; 2] = ["10.1.0.1:5060", "10.1.0.2:5060"];
@@ -45,25 +45,25 @@
     Config::parse(text.as_bytes()).unwrap()
 }
 
-/// The protocol, its connections and all that it wrote on them.
+/// The protocol, its connections and what it wrote on them.
 pub struct Harness {
     pub protocol: DirectorProtocol,
     pub now: Timestamp,
-    /// Connections to nodes that are open or being established, with the address of the node.
+    /// Connections to nodes that are open or being established, with the node's address.
     pub node_connections: BTreeMap<ConnectionId, SocketAddr>,
     connecting: BTreeSet<ConnectionId>,
-    /// Sockets that are not asked to write at present.
+    /// Connections that currently ignore write requests.
     pub blocked: BTreeSet<ConnectionId>,
-    /// Sockets that take nothing of what they are given.
+    /// Sockets that accept no bytes.
     pub refusing_writes: BTreeSet<ConnectionId>,
-    /// Sockets that take half of what they are given, and no more.
-    pub taking_half: BTreeSet<ConnectionId>,
-    /// Sockets in which something waits to be read.
+    /// Sockets that accept half of the next message, and no more.
+    pub writing_partially: BTreeSet<ConnectionId>,
+    /// Sockets with unread bytes.
     pub with_unread_bytes: BTreeSet<ConnectionId>,
     pub closed: Vec<ConnectionId>,
-    /// Connections of which this side's half is closed.
+    /// Connections whose write half is closed.
     pub half_closed: Vec<ConnectionId>,
-    /// What was written since the last look.
+    /// What was written since it was last taken.
     pub written: BTreeMap<ConnectionId, String>,
     pub log_events: Vec<LogEvent>,
 }
@@ -78,7 +78,7 @@
             connecting: BTreeSet::new(),
             blocked: BTreeSet::new(),
             refusing_writes: BTreeSet::new(),
-            taking_half: BTreeSet::new(),
+            writing_partially: BTreeSet::new(),
             with_unread_bytes: BTreeSet::new(),
             closed: Vec::new(),
             half_closed: Vec::new(),
@@ -103,9 +103,9 @@
                 Output::Write(connection)
                     if self.connecting.contains(&connection)
                         || self.blocked.contains(&connection) => {}
-                // It is in the middle of a write.
+                // A partial write on the socket is not complete.
                 Output::Write(connection)
-                    if self.taking_half.contains(&connection)
+                    if self.writing_partially.contains(&connection)
                         && self.written.contains_key(&connection) => {}
                 Output::Write(connection) => self.write(connection),
                 Output::Close(connection) => {
@@ -123,7 +123,7 @@
                 Transmit::Bytes(bytes) if self.refusing_writes.contains(&connection) => {
                     return self.protocol.return_unwritten(self.now, connection, bytes);
                 }
-                Transmit::Bytes(bytes) if self.taking_half.contains(&connection) => {
+                Transmit::Bytes(bytes) if self.writing_partially.contains(&connection) => {
                     let taken = String::from_utf8_lossy(&bytes[..bytes.len() / 2]).into_owned();
                     self.written.entry(connection).or_default().push_str(&taken);
                     return self.protocol.partially_written(self.now, connection);
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Time passes, and timers fire.
+    /// Advances the time, and handles the timers that are due.
     pub fn advance(&mut self, span: TimeDelta) {
         let until = self.now + span;
         while let Some(due) = self.protocol.poll_timeout().filter(|due| *due <= until) {
@@ -162,7 +162,7 @@
             .accept_viewer(self.now, "10.9.0.1".parse().unwrap())
             .unwrap();
         self.process_outputs();
-        // The driver of a connection polls at once for what there is to write on it.
+        // A connection's driver polls at once for bytes to write.
         self.write(connection);
         connection
     }
@@ -177,12 +177,12 @@
         self.receive(viewer, start_message(tag, class, 1500, ""));
     }
 
-    /// The connection that was opened last is established.
+    /// Establishes the connection that was opened last.
     pub fn connect_next(&mut self) -> ConnectionId {
         let connection = self
             .connecting
             .pop_last()
-            .expect("a connection was asked for");
+            .expect("a connection was requested");
         self.protocol.node_connected(self.now, connection);
         self.process_outputs();
         connection
@@ -197,11 +197,12 @@
     pub fn fail_connect(
         &mut self,
         connection: ConnectionId,
-        why: shalewall_platform_proto::ConnectError,
+        error: shalewall_platform_proto::ConnectError,
     ) {
         self.node_connections.remove(&connection);
         self.connecting.remove(&connection);
-        self.protocol.node_connect_failed(self.now, connection, why);
+        self.protocol
+            .node_connect_failed(self.now, connection, error);
         self.process_outputs();
     }
 
@@ -211,21 +212,21 @@
         self.process_outputs();
     }
 
-    /// An attempt whose set-up is written: its viewer's connection and its node's.
+    /// Starts an attempt whose set-up is written; returns the viewer's connection and the node's.
     pub fn start_attempt(&mut self, tag: u64, class: &str) -> (ConnectionId, ConnectionId) {
         let viewer = self.connect_viewer();
         self.request(viewer, tag, class);
         (viewer, self.connect_next())
     }
 
-    /// An active session: the same.
+    /// Starts an active session; returns the viewer's connection and the node's.
     pub fn start_session(&mut self, tag: u64, class: &str) -> (ConnectionId, ConnectionId) {
         let (viewer, node) = self.start_attempt(tag, class);
         self.receive(node, set_up_answer(tag, "there"));
         (viewer, node)
     }
 
-    /// An event of the endpoint watch.
+    /// Applies an event of the endpoint watch.
     pub fn apply_endpoint_event(&mut self, number: u64, entries: &[EndpointEntry]) {
         let event = EndpointEvent {
             sequence: number,
@@ -243,7 +244,7 @@
         self.connecting.contains(&connection)
     }
 
-    /// The node that a connection goes to, as a number.
+    /// Number of the node that a connection goes to.
     pub fn node_of(&self, connection: ConnectionId) -> u64 {
         if self.node_connections[&connection].to_string() == NODE[0] {
             1
@@ -252,13 +253,13 @@
         }
     }
 
-    /// Takes what was written on a connection since the last look.
+    /// Takes what was written on a connection since the previous call.
     pub fn take_written(&mut self, connection: ConnectionId) -> String {
         self.written.remove(&connection).unwrap_or_default()
     }
 }
 
-/// Requests without an answer, and sessions that are active.
+/// Counts of requests without an answer and of active sessions.
 pub fn counts(pending_requests: usize, active_sessions: usize) -> SessionCounts {
     SessionCounts {
         pending_requests,
@@ -289,19 +290,19 @@
     }
 }
 
-/// A viewer's request; `more` is added to its extras.
+/// Encodes a viewer's request; `more` is appended to its extras.
 pub fn start_message(tag: u64, class: &str, left: i64, more: &str) -> String {
     format!(
         r#"{{"verb":"START","tag":"{tag:016x}","opts":{{"class":"{class}","left":"{left}","key":"7f3a9c21e0b4d655","hint":"8200.0","extras":"home:0;copies:2;top:1;viewer:{tag:016x}{more}"}},"blob":"here\r\n"}}"#
     ) + "\n"
 }
 
-/// A viewer withdraws its request, or ends its session.
+/// Encodes the message that withdraws a request or ends a session.
 pub fn finish_message(tag: u64) -> Vec<u8> {
     ViewerMessage::finish(HexId::from_value(tag), 16).encode()
 }
 
-/// A node's answer: the session is active.
+/// Encodes a node's answer that a session is active.
 pub fn set_up_answer(tag: u64, description: &str) -> String {
     let length = description.len();
     format!(
@@ -309,12 +310,12 @@
     )
 }
 
-/// A node's answer: no session.
+/// Encodes a node's negative answer to a set-up.
 pub fn set_up_refusal(tag: u64, status: u16) -> String {
     format!("RTSP/1.0 {status} No\r\nCSeq: 1\r\nSession: {tag:016x}\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// A node ends a session.
+/// Encodes a node's release of a session.
 pub fn teardown(tag: u64, cause: i64, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {tag:016x}\r\nReason: cause={cause}\r\nContent-Length: {}\r\n\r\n",
--- a/crates/platform-proto/tests/config_file.rs
+++ b/crates/platform-proto/tests/config_file.rs
@@ -1,4 +1,4 @@
-//! A whole configuration file of the platform, in the form in which it is handed over today.
+//! A complete configuration file in the platform's current format.
 
 use shalewall::{Endpoint, EndpointState, ServerId, Timestamp};
 use shalewall_director_config::DirectorConfig;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_unreadable_field_is_named_by_its_path() {
+fn an_invalid_field_is_named_by_its_path() {
     let text = String::from_utf8(PLATFORM_CONFIGURATION.to_vec()).unwrap();
     for (field, replacement, expected) in [
         (
@@ -90,9 +90,9 @@
             "known.entries[1].hosts.members[0].phase: ",
         ),
     ] {
-        let refusal = Config::parse(text.replace(field, replacement).as_bytes())
+        let error = Config::parse(text.replace(field, replacement).as_bytes())
             .err()
-            .unwrap_or_else(|| panic!("{replacement} is read"));
-        assert!(refusal.to_string().starts_with(expected), "{refusal}");
+            .unwrap_or_else(|| panic!("{replacement} is accepted"));
+        assert!(error.to_string().starts_with(expected), "{error}");
     }
 }
--- a/crates/platform-proto/tests/endpoint_events.rs
+++ b/crates/platform-proto/tests/endpoint_events.rs
@@ -1,13 +1,13 @@
-//! The endpoint list: missed events, and addresses and processes that change.
+//! The endpoint list: missed events, and changed addresses and processes.
 
 mod common;
-use common::{Harness, MS, NODE, S, START, endpoint_entry, set_up_refusal};
+use common::{Harness, MILLISECOND, NODE, SECOND, START, endpoint_entry, set_up_refusal};
 use shalewall::EndpointState::{Gone, Ready};
 use shalewall::ServerId;
 use shalewall_platform_proto::endpoint_watch::Frame;
 use shalewall_platform_proto::{DirectorProtocol, LogEvent};
 
-/// A heartbeat whose number is above that of the last event: events are missing.
+/// A heartbeat with a sequence number above that of the last event shows that events are missing.
 #[test]
 fn a_heartbeat_above_the_position_reveals_missed_events() {
     let mut harness = Harness::new();
@@ -22,7 +22,7 @@
             .protocol
             .handle_watch_frame(START, &Frame::Heartbeat(0)),
         Ok(()),
-        "behind: nothing is missing here"
+        "a lower sequence number shows no missed event"
     );
     assert!(
         harness
@@ -39,8 +39,8 @@
     );
 }
 
-/// The file of a new configuration names an event that can't be read: the position stays before it, and the service is
-/// asked for it and all that follow.
+/// If an event of the configuration file can't be decoded, the position stays before it, and the service is asked for
+/// it and the following events.
 #[test]
 fn an_unreadable_event_of_the_file_keeps_the_position_before_it() {
     let event = |pos: u64, id: &str| {
@@ -54,7 +54,7 @@
         let events: Vec<_> = ids
             .iter()
             .enumerate()
-            .map(|(i, id)| event(i as u64 + 1, id))
+            .map(|(index, id)| event(index as u64 + 1, id))
             .collect();
         format!(
             r#"{{"name":"n1","listen":"10.0.0.4:5060","seed":"8c1f30d27a5be964","limits":{{"sockets":256}},
@@ -72,10 +72,10 @@
     assert_eq!(protocol.watch_position(), 1);
 }
 
-/// A new node is listed under the address of one that is not listed as gone yet, or is so in the same event: nothing is sent
-/// to the new process under the old name, also where a connection is being established or a set-up waits.
+/// A new node is listed at the address of a node that is not listed as gone yet, or is so in the same event: nothing is
+/// sent to the new process for the old node, even while a connection is being established or a set-up is queued.
 #[test]
-fn a_reassigned_address_gets_nothing_under_the_old_name() {
+fn nothing_is_sent_to_a_reassigned_address_for_the_old_node() {
     let mut harness = Harness::new();
     let viewer = harness.connect_viewer();
     harness.request(viewer, 7, "paid");
@@ -96,18 +96,18 @@
     );
     assert!(
         harness.closed.contains(&connection),
-        "the connection under way went to the old one"
+        "the connection that was being established was to the old node"
     );
     harness.log_events.clear();
-    // Whatever is requested now, the old name gets nothing before its `gone` comes, and after.
+    // No request reaches the old node, before and after the list marks it as gone.
     for number in [3, 4] {
         for tag in 0..20 {
             harness.request(viewer, number * 100 + tag, "paid");
-            harness.advance(10 * MS);
+            harness.advance(10 * MILLISECOND);
             for connection in harness.node_connections.keys().copied().collect::<Vec<_>>() {
                 harness.connect(connection);
-                let mine: Vec<u64> = (7..=7).chain(number * 100..number * 100 + 20).collect();
-                mine.into_iter()
+                let tags: Vec<u64> = (7..=7).chain(number * 100..number * 100 + 20).collect();
+                tags.into_iter()
                     .for_each(|tag| harness.receive(connection, set_up_refusal(tag, 453)));
             }
         }
@@ -128,21 +128,22 @@
         "{:?}",
         harness.log_events
     );
-    harness.advance(S);
+    harness.advance(SECOND);
     assert_eq!(
         harness.protocol.status().connections.known_nodes,
         2,
-        "the old one is forgotten, {other} and 9 stay"
+        "the old node is removed, {other} and 9 remain"
     );
     assert!(
         harness
             .written
             .iter()
-            .any(|(_, said)| said.contains("SETUP"))
+            .any(|(_, text)| text.contains("SETUP"))
     );
 }
 
-/// The same with a set-up in flight there: it ends with its process, and no release of it is pending at that address.
+/// A set-up in flight to a process that is replaced ends with that process, and no release of it stays pending for the
+/// address.
 #[test]
 fn no_release_is_pending_for_a_process_that_is_gone() {
     let mut harness = Harness::new();
@@ -158,7 +159,7 @@
         )],
     );
     assert!(harness.take_written(viewer).contains(r#""rc":41"#));
-    harness.advance(9 * S);
+    harness.advance(9 * SECOND);
     assert!(
         harness.node_connections.is_empty()
             && harness.protocol.status().connections.known_nodes == 2,
--- a/crates/platform-proto/tests/model/checks.rs
+++ b/crates/platform-proto/tests/model/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold after each step, and at the end.
+//! Invariants after each step, and at the end.
 
 use super::{CONNECT_TIMEOUT, Model};
 use crate::steps::Step;
@@ -6,7 +6,7 @@
 use shalewall_platform_proto::viewer_message::{Verb, ViewerMessage};
 use shalewall_platform_proto::{ConnectionId, HexId};
 
-/// Rounds after which nothing may wait any more.
+/// Number of rounds after which nothing may be pending.
 const SETTLE_ROUNDS: usize = 60;
 
 fn session_in(head: &str) -> Option<u64> {
@@ -14,7 +14,7 @@
     u64::from_str_radix(head.get(at + 9..at + 25)?, 16).ok()
 }
 
-/// Takes the first whole RTSP message.
+/// Removes the first complete RTSP message.
 fn next_rtsp_message(unparsed: &mut String) -> Option<String> {
     let head = unparsed.find("\r\n\r\n")?;
     let content = unparsed[..head]
@@ -29,19 +29,19 @@
 }
 
 impl Model {
-    /// Reads what was written since the last look, and checks it.
+    /// Parses what was written since the previous call, and checks it.
     pub fn check(&mut self) -> Result<(), TestCaseError> {
         for connection in self.node_connections() {
             let node = self.harness.node_of(connection);
             self.node_of.insert(connection, node);
         }
-        // Connections that this side closed: their set-ups are cancelled, what is active stays active.
+        // Set-ups on closed connections are cancelled; active sessions continue.
         let closed = &self.harness.closed;
         self.open_set_ups
             .retain(|connection, _| !closed.contains(connection));
         for (connection, written) in std::mem::take(&mut self.harness.written) {
-            if self.harness.taking_half.contains(&connection) {
-                // In the middle of a write for good.
+            if self.harness.writing_partially.contains(&connection) {
+                // The write is never completed.
                 self.harness.written.insert(connection, String::new());
             }
             let unparsed = self.unparsed.entry(connection).or_default();
@@ -52,13 +52,18 @@
             }
         }
         for (session, count) in &self.answer_counts {
-            prop_assert!(*count <= 1, "{count} answers to {session}");
+            prop_assert!(*count <= 1, "{count} answers to session {session}");
         }
         let mut open: Vec<u64> = self.open_set_ups.values().flatten().copied().collect();
         let count = open.len();
         open.sort_unstable();
         open.dedup();
-        prop_assert_eq!(open.len(), count, "two attempts: {:?}", &self.open_set_ups);
+        prop_assert_eq!(
+            open.len(),
+            count,
+            "two open attempts of one session: {:?}",
+            &self.open_set_ups
+        );
         Ok(())
     }
 
@@ -73,7 +78,7 @@
             if message.starts_with("SETUP") {
                 prop_assert!(
                     !self.withdrawn.contains(&session),
-                    "sent although its viewer has left: {session}"
+                    "set-up sent after withdrawal: {session}"
                 );
                 self.open_set_ups
                     .entry(connection)
@@ -113,16 +118,16 @@
         Ok(())
     }
 
-    /// All sockets are free again, nodes answer, and time passes: nothing may be left.
+    /// Unblocks all sockets, answers all set-ups and lets time pass, after which nothing may be pending.
     pub fn settle(&mut self) -> Result<(), TestCaseError> {
-        self.end_half_written_connections();
+        self.close_partially_written_connections();
         for _ in 0..SETTLE_ROUNDS {
-            self.take(&Step::SocketsAreFree);
+            self.apply(&Step::SocketsUnblocked);
             self.connect_all_nodes();
             self.check()?;
             for connection in 0..8 {
                 let status = 453;
-                self.take(&Step::NodeAnswers { connection, status });
+                self.apply(&Step::NodeAnswers { connection, status });
             }
             self.harness.advance(CONNECT_TIMEOUT);
             self.check()?;
@@ -136,13 +141,13 @@
             .iter()
             .filter(|(_, session)| !self.started.contains(session))
             .collect();
-        prop_assert!(unowned.is_empty(), "sessions of nobody: {unowned:?}");
+        prop_assert!(unowned.is_empty(), "sessions without an owner: {unowned:?}");
         Ok(())
     }
 
-    /// Sockets that took half of a message take no more until they end: what follows on them is not read.
-    fn end_half_written_connections(&mut self) {
-        while let Some(connection) = self.harness.taking_half.first().copied() {
+    /// Closes the connections whose sockets accepted part of a message: what follows on them is not read.
+    fn close_partially_written_connections(&mut self) {
+        while let Some(connection) = self.harness.writing_partially.first().copied() {
             let viewer = self.viewers.iter().position(|viewer| *viewer == connection);
             if let Some(position) = viewer {
                 self.viewers.remove(position);
@@ -150,7 +155,7 @@
             }
             self.open_set_ups.remove(&connection);
             self.harness.close(connection, false);
-            self.harness.taking_half.remove(&connection);
+            self.harness.writing_partially.remove(&connection);
         }
     }
 }
--- a/crates/platform-proto/tests/model/mod.rs
+++ b/crates/platform-proto/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A model of viewers, nodes and the endpoint list around one director. It takes drawn steps, and checks after each
-//! what must hold in whichever order they come.
+//! A model of viewers, nodes and the endpoint list around one director. It applies random steps, and checks the
+//! invariants after each of them.
 
 mod checks;
 
@@ -12,33 +12,33 @@
 use shalewall_platform_proto::{ConnectError, ConnectionId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a connection may take to be established, by the settings.
+/// Connect timeout of the settings.
 const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(250);
 
-/// What all parties know.
+/// The state of all parties.
 pub struct Model {
     harness: Harness,
     viewers: Vec<ConnectionId>,
     last_session: u64,
     last_sequence: u64,
-    /// Sessions whose viewer has left.
+    /// Sessions whose request was withdrawn, or whose viewer disconnected.
     withdrawn: BTreeSet<u64>,
-    /// Sessions that wait for their answer, by the viewer's connection.
+    /// Sessions without an answer, with their viewer's connection.
     pending: BTreeMap<u64, ConnectionId>,
-    /// What was written on each connection and is not parsed yet.
+    /// Written bytes of each connection that are not parsed yet.
     unparsed: BTreeMap<ConnectionId, String>,
-    /// Set-ups without an answer, by the node's connection.
+    /// Unanswered set-ups by the node's connection.
     open_set_ups: BTreeMap<ConnectionId, Vec<u64>>,
-    /// Sessions that nodes hold: node and session.
+    /// Active sessions at nodes: node and session.
     node_sessions: BTreeSet<(u64, u64)>,
     /// The node of each connection.
     node_of: BTreeMap<ConnectionId, u64>,
     answer_counts: BTreeMap<u64, u32>,
-    /// Sessions whose viewer knows that they are active.
+    /// Sessions whose viewer has received the answer that they are active.
     started: BTreeSet<u64>,
 }
 
-/// The nth of these, counted round.
+/// Returns the connection at `index` modulo their number.
 fn pick(connections: &[ConnectionId], index: usize) -> Option<ConnectionId> {
     if connections.is_empty() {
         None
@@ -69,8 +69,8 @@
 
     // ---- steps -------------------------------------------------------------------------------
 
-    pub fn take(&mut self, step: &Step) {
-        // The director closes silent connections; what was requested on them would never be answered.
+    pub fn apply(&mut self, step: &Step) {
+        // The director closes silent connections; requests on them would never be answered.
         let closed = &self.harness.closed;
         self.viewers.retain(|viewer| !closed.contains(viewer));
         if self.viewers.is_empty() {
@@ -84,15 +84,15 @@
             Step::NodeConnects { connection } => self.connect_node(connection),
             Step::ConnectFails { connection, error } => self.fail_connect(connection, error),
             Step::NodeAnswers { connection, status } => self.answer(connection, status),
-            Step::AnswerIsLost { connection } => self.lose_answer(connection),
+            Step::AnswerLost { connection } => self.lose_answer(connection),
             Step::NodeReleases { connection, cause } => self.release(connection, cause),
             Step::NodeCloses { connection, clean } => self.close_node(connection, clean),
             Step::SocketRefusesWrites { connection } => self.refuse_writes(connection),
-            Step::SocketTakesHalf { connection } => self.take_half(connection),
-            Step::SocketsAreFree => self.free_sockets(),
+            Step::SocketWritesPartially { connection } => self.write_partially(connection),
+            Step::SocketsUnblocked => self.unblock_sockets(),
             Step::NodeDrains { node } => self.list_node(node, EndpointState::Draining),
-            Step::NodeIsReady { node } => self.list_node(node, EndpointState::Ready),
-            Step::TimePasses(span) => self.advance(span),
+            Step::NodeBecomesReady { node } => self.list_node(node, EndpointState::Ready),
+            Step::Advance(span) => self.advance(span),
             Step::ShutdownBegins => self.harness.protocol.begin_shutdown(self.harness.now),
         }
     }
@@ -123,7 +123,7 @@
         let viewer = self.viewers.remove(viewer % self.viewers.len());
         self.withdraw_all(viewer);
         self.harness.close(viewer, clean);
-        self.take(&Step::ViewerConnects);
+        self.apply(&Step::ViewerConnects);
     }
 
     fn withdraw_all(&mut self, viewer: ConnectionId) {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// A node answers the set-up that it has had longest on that connection.
+    /// A node answers the oldest set-up on that connection.
     fn answer(&mut self, index: usize, status: u16) {
         let Some(connection) = self.established(index) else {
             return;
@@ -179,7 +179,7 @@
         }
     }
 
-    /// A node accepts a session, and the answer is lost with the connection.
+    /// A node accepts a session, and the answer is lost because the connection closes.
     fn lose_answer(&mut self, index: usize) {
         let Some(connection) = self.established(index) else {
             return;
@@ -220,22 +220,22 @@
 
     fn refuse_writes(&mut self, index: usize) {
         let connection = self.any_connection(index);
-        let taking_half = &self.harness.taking_half;
-        let allowed = connection.filter(|connection| !taking_half.contains(connection));
+        let writing_partially = &self.harness.writing_partially;
+        let allowed = connection.filter(|connection| !writing_partially.contains(connection));
         self.harness.refusing_writes.extend(allowed);
     }
 
-    fn take_half(&mut self, index: usize) {
+    fn write_partially(&mut self, index: usize) {
         let connection = self.any_connection(index);
         let refusing_writes = &self.harness.refusing_writes;
         for refusing in refusing_writes {
-            assert!(!self.harness.taking_half.contains(refusing));
+            assert!(!self.harness.writing_partially.contains(refusing));
         }
         let allowed = connection.filter(|connection| !refusing_writes.contains(connection));
-        self.harness.taking_half.extend(allowed);
+        self.harness.writing_partially.extend(allowed);
     }
 
-    fn free_sockets(&mut self) {
+    fn unblock_sockets(&mut self) {
         for connection in std::mem::take(&mut self.harness.refusing_writes) {
             self.harness.write(connection);
             self.harness.process_outputs();
@@ -250,8 +250,8 @@
             .apply_endpoint_event(self.last_sequence, &[entry]);
     }
 
-    /// A connection that was not refused in the time that it may take is established: no node is out of reach for
-    /// seconds here.
+    /// Lets time pass. Connections are established within the connect timeout unless a step fails them, so that no node
+    /// is unreachable for seconds.
     fn advance(&mut self, span: TimeDelta) {
         if span < CONNECT_TIMEOUT {
             return self.harness.advance(span);
@@ -266,7 +266,7 @@
             if !self.harness.is_connecting(connection) {
                 continue;
             }
-            // It may be closed before the next look at what was written on it.
+            // The connection may be closed before the next check of what was written on it.
             let node = self.harness.node_of(connection);
             self.node_of.insert(connection, node);
             self.harness.connect(connection);
@@ -290,7 +290,7 @@
         pick(&connections, index)
     }
 
-    /// Even indices are nodes', odd ones viewers'.
+    /// Even indices select node connections, odd ones viewer connections.
     fn any_connection(&self, index: usize) -> Option<ConnectionId> {
         if index.is_multiple_of(2) {
             self.established(index / 2)
--- a/crates/platform-proto/tests/node_connections.rs
+++ b/crates/platform-proto/tests/node_connections.rs
@@ -1,14 +1,15 @@
-//! Connections to media nodes: how they end, what is read until then, and what their end proves.
+//! Connections to media nodes: how they are closed, what is read until then, and what their end proves.
 
 mod common;
 use common::{
-    Harness, MS, NODE, S, counts, endpoint_entry, finish_message, set_up_answer, teardown,
+    Harness, MILLISECOND, NODE, SECOND, counts, endpoint_entry, finish_message, set_up_answer,
+    teardown,
 };
 use shalewall::EndpointState::Gone;
 use shalewall_platform_proto::viewer_message::ViewerMessage;
 use shalewall_platform_proto::{ConnectError, ConnectionId, HexId};
 
-/// A node sends its releases again on the next connection that is opened: so one has to be.
+/// A node repeats its releases on the next connection that is opened, so a broken connection has to be replaced.
 #[test]
 fn a_broken_connection_is_replaced_at_once() {
     let mut harness = Harness::new();
@@ -24,8 +25,8 @@
     );
 }
 
-/// Sessions are active at both nodes, and a set-up on one of their connections is cancelled at once: the viewer's
-/// connection, that one, and the session there.
+/// Starts sessions at both nodes, and cancels a set-up on one of their connections. Returns the viewer's connection,
+/// the connection of the set-up, and the tag of the session at that node.
 fn cancel_attempt_beside_a_session(harness: &mut Harness) -> (ConnectionId, ConnectionId, u64) {
     let (viewer, first) = harness.start_session(7, "free");
     harness.request(viewer, 8, "free");
@@ -33,7 +34,7 @@
     harness.receive(second, set_up_answer(8, "there"));
     harness.written.clear();
     harness.request(viewer, 9, "free");
-    let met = if harness.take_written(first).contains("SETUP") {
+    let chosen = if harness.take_written(first).contains("SETUP") {
         (first, 7)
     } else {
         (second, 8)
@@ -42,22 +43,22 @@
         viewer,
         ViewerMessage::finish(HexId::from_value(9), 16).encode(),
     );
-    assert!(harness.take_written(met.0).contains("TEARDOWN"));
+    assert!(harness.take_written(chosen.0).contains("TEARDOWN"));
     harness.written.clear();
-    (viewer, met.0, met.1)
+    (viewer, chosen.0, chosen.1)
 }
 
-/// Seen: a set-up was cancelled, its connection closed for that, and nineteen releases that the node had written there
-/// in the same millisecond were never read.
+/// Guards against closing a connection at once after a cancelled set-up, which lost nineteen releases that the node had
+/// written to it in the same millisecond.
 #[test]
 fn a_half_closed_connection_is_read_until_closed() {
     let mut harness = Harness::new();
     let (viewer, node, tag) = cancel_attempt_beside_a_session(&mut harness);
-    harness.advance(S);
+    harness.advance(SECOND);
     harness.connect_next();
     assert!(
         harness.half_closed.contains(&node) && !harness.closed.contains(&node),
-        "it says no more and listens"
+        "only the write half is closed"
     );
     harness.receive(node, teardown(tag, 16, b""));
     assert!(
@@ -70,16 +71,16 @@
     assert_eq!(harness.protocol.session_counts(), counts(0, 1));
 }
 
-/// Seen: a draining node accepted no further connection, this side closed the last one to it after a cancelled set-up,
-/// and counted the sessions there as over while they were active.
+/// Guards against closing the last connection to a draining node that accepts no new ones: its sessions were counted as
+/// ended while they were active.
 #[test]
 fn the_last_connection_to_a_node_is_kept_until_replaced() {
     let mut harness = Harness::new();
     let (viewer, node, tag) = cancel_attempt_beside_a_session(&mut harness);
     for _ in 0..25 {
-        harness.advance(100 * MS);
-        let further: Vec<_> = harness.node_connections.keys().copied().skip(2).collect();
-        further
+        harness.advance(100 * MILLISECOND);
+        let additional: Vec<_> = harness.node_connections.keys().copied().skip(2).collect();
+        additional
             .into_iter()
             .for_each(|connection| harness.fail_connect(connection, ConnectError::Refused));
     }
@@ -92,19 +93,19 @@
     );
 }
 
-/// A stalled node does not close its half: it is waited for up to a limit.
+/// A stalled node does not close its half of a connection, which is closed after a time limit.
 #[test]
 fn a_half_close_without_answer_times_out() {
     let mut harness = Harness::new();
     let (_, node, _) = cancel_attempt_beside_a_session(&mut harness);
-    harness.advance(S);
+    harness.advance(SECOND);
     harness.connect_next();
-    harness.advance(6 * S);
+    harness.advance(6 * SECOND);
     assert!(harness.closed.contains(&node));
 }
 
-/// What can't be read is closed at once; the next one is opened when the node has learned of that, since what it
-/// sends in between is lost, and sent again on the next one only.
+/// A stream that can't be decoded is closed at once. What the node sends until it notices the close is lost and
+/// repeated only on the next connection, which is therefore opened later.
 #[test]
 fn after_an_unreadable_stream_the_next_connection_is_delayed() {
     let mut harness = Harness::new();
@@ -112,7 +113,7 @@
     harness.take_written(viewer);
     harness.receive(node, "no such thing\r\n\r\n");
     assert!(harness.closed.contains(&node) && harness.node_connections.keys().all(|c| *c == node));
-    harness.advance(300 * MS);
+    harness.advance(300 * MILLISECOND);
     let next = harness.connect_next();
     harness.receive(next, teardown(7, 41, b""));
     assert!(
@@ -122,7 +123,7 @@
     );
 }
 
-/// A refused connection proves that the process is gone, and its sessions with it.
+/// A refused connection proves that the process is gone, which ends its sessions.
 #[test]
 fn a_refused_connection_ends_the_nodes_sessions() {
     let mut harness = Harness::new();
@@ -135,14 +136,15 @@
     assert_eq!(harness.protocol.session_counts(), counts(0, 0));
 }
 
-/// Seen: an unreadable connection stayed open while its process died, and the sessions there were never released.
+/// A connection may look open after its process died. If new connections are refused and nothing is received, the
+/// node's sessions have to be released.
 #[test]
-fn an_open_connection_proves_no_process() {
+fn an_open_connection_does_not_prove_that_a_node_runs() {
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_session(7, "free");
     harness.take_written(viewer);
     for _ in 0..60 {
-        harness.advance(100 * MS);
+        harness.advance(100 * MILLISECOND);
         for connection in harness
             .node_connections
             .keys()
@@ -154,12 +156,12 @@
         }
     }
     assert!(harness.take_written(viewer).contains(r#""rc":41"#));
-    // A node that refuses further connections and sends on others is alive.
+    // A node that refuses additional connections but sends on an existing one is alive.
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_session(7, "free");
     harness.take_written(viewer);
     for _ in 0..60 {
-        harness.advance(100 * MS);
+        harness.advance(100 * MILLISECOND);
         harness.receive(
             node,
             "ANNOUNCE rtsp://media/x RTSP/1.0\r\nSession: 0000000000000007\r\nContent-Length: 0\r\n\r\n",
@@ -177,16 +179,16 @@
     assert!(harness.take_written(viewer).is_empty());
 }
 
-/// A machine that vanished gives no sign: its connections stay open and new ones are never established. Its sessions are
-/// released within the 8 s that the protocol gives. One that is stalled accepts connections: it keeps its sessions.
+/// Connections to a lost machine stay open, and new ones are never established: its sessions are released within the 8
+/// s that the protocol allows. A stalled machine accepts connections and keeps its sessions.
 #[test]
-fn a_vanished_machine_is_distinguished_from_a_stalled_one() {
+fn a_lost_machine_is_distinguished_from_a_stalled_one() {
     for vanished in [true, false] {
         let mut harness = Harness::new();
         let (viewer, node) = harness.start_session(7, "free");
         harness.take_written(viewer);
         for _ in 0..75 {
-            harness.advance(100 * MS);
+            harness.advance(100 * MILLISECOND);
             for connection in harness
                 .node_connections
                 .keys()
@@ -208,23 +210,23 @@
     }
 }
 
-/// A message that stops short would swallow whatever comes after it on that connection.
+/// The rest of a partial message would consume whatever follows on its connection, which is therefore closed.
 #[test]
 fn a_partial_message_closes_its_connection_within_a_second() {
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_attempt(7, "paid");
     harness.receive(node, &set_up_answer(7, "there, and more")[..70]);
-    harness.advance(S);
+    harness.advance(SECOND);
     assert!(harness.closed.contains(&node));
     assert!(
         harness.take_written(viewer).contains(r#""rc":41"#),
-        "it may have run: a paid set-up fails"
+        "the node may have executed it, so a paid set-up fails"
     );
 }
 
-/// Polling a connection for bytes to write is no use of it: a node closes what has carried nothing.
+/// Polling for bytes to write does not count as traffic: the node closes a connection that carries none.
 #[test]
-fn polling_does_not_keep_a_connection_fresh() {
+fn polling_does_not_count_as_use_of_a_connection() {
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_session(7, "free");
     harness.receive(node, teardown(7, 16, b""));
@@ -233,9 +235,9 @@
         2,
         &[endpoint_entry(other, NODE[other as usize - 1], Gone, None)],
     );
-    harness.advance(8 * S);
+    harness.advance(8 * SECOND);
     harness.write(node);
-    harness.advance(S + 100 * MS);
+    harness.advance(SECOND + 100 * MILLISECOND);
     harness.written.clear();
     harness.request(viewer, 8, "free");
     assert!(
@@ -244,20 +246,20 @@
     );
 }
 
-/// A connection on which a node takes only half a message is closed after half a second.
+/// A connection on which a node accepts only part of a message is closed after 0.5 s.
 #[test]
 fn a_connection_with_blocked_writes_is_closed() {
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_session(7, "free");
     harness.take_written(node);
-    harness.taking_half.insert(node);
+    harness.writing_partially.insert(node);
     harness.receive(viewer, finish_message(7));
     assert!(
         harness
             .written
             .get(&node)
-            .is_some_and(|said| said.starts_with("TEAR"))
+            .is_some_and(|text| text.starts_with("TEAR"))
     );
-    harness.advance(800 * MS);
+    harness.advance(800 * MILLISECOND);
     assert!(harness.closed.contains(&node));
 }
--- a/crates/platform-proto/tests/random_crossings.rs
+++ b/crates/platform-proto/tests/random_steps.rs
@@ -1,6 +1,6 @@
-//! Random crossings: viewers, nodes and the endpoint list do what they may in any order, sockets take what they are
-//! given, half of it or nothing, and after each step what must hold is checked. A failing case is kept as a named test
-//! in the file of its concern.
+//! Viewers, nodes and the endpoint list take random steps in any order, sockets accept all, half or none of their
+//! bytes, and the invariants are checked after each step. A failing case is kept as a named test in the file of its
+//! topic.
 
 mod common;
 mod model;
@@ -11,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 use steps::step;
 
-/// Cases in CI, of a fixed seed and so the same each time. PROPTEST_CASES asks for other cases and another number.
+/// Number of cases in CI, with a fixed seed. PROPTEST_CASES sets another number of cases with a random seed.
 const DEFAULT_CASES: u32 = 400;
 const DEFAULT_SEED: u64 = 39;
 
@@ -34,10 +34,10 @@
 proptest! {
     #![proptest_config(test_config())]
     #[test]
-    fn random_crossings_keep_the_invariants(steps in prop::collection::vec(step(), 1..60)) {
+    fn random_steps_keep_the_invariants(steps in prop::collection::vec(step(), 1..60)) {
         let mut model = Model::new();
         for step in &steps {
-            model.take(step);
+            model.apply(step);
             model.check()?;
         }
         model.settle()?;
--- a/crates/platform-proto/tests/session_lifecycle.rs
+++ b/crates/platform-proto/tests/session_lifecycle.rs
@@ -1,16 +1,18 @@
-//! Sessions from the request to the release, and releases that must not be lost with a connection.
+//! Sessions from the request to the release, and releases that must not be lost when a connection closes.
 
 mod common;
-use common::{Harness, MS, S, counts, finish_message, set_up_answer, start_message, teardown};
+use common::{
+    Harness, MILLISECOND, SECOND, counts, finish_message, set_up_answer, start_message, teardown,
+};
 
 #[test]
-fn a_session_from_request_to_release() {
+fn a_session_is_set_up_and_released() {
     let mut harness = Harness::new();
     let viewer = harness.connect_viewer();
     harness.request(viewer, 7, "paid");
     assert!(
         harness.take_written(viewer).is_empty(),
-        "no answer before a node's"
+        "no answer before the node's answer"
     );
     let node = harness.connect_next();
     let sent = harness.take_written(node);
@@ -37,8 +39,8 @@
     assert_eq!(harness.protocol.session_counts(), counts(0, 0));
 }
 
-/// Seen on a garbled day: a release under an unknown id with noise for content closed the connection, and the
-/// releases behind it were lost (36 sessions).
+/// Guards against closing the connection because of a release with binary content and an unknown id, which loses the
+/// releases behind it (36 sessions in one run with corrupted messages).
 #[test]
 fn a_release_with_binary_content_is_read() {
     let mut harness = Harness::new();
@@ -56,10 +58,10 @@
     assert!(harness.closed.is_empty());
 }
 
-/// Seen: a returning viewer's session ended as soon as it was active, and its answer came with the release. Taken for a
-/// reset it was set up three times more.
+/// A session that ends as soon as it is active: its answer and its release are one message. Treating that message as a
+/// reset caused three more set-ups.
 #[test]
-fn a_release_with_a_description_is_answer_and_release() {
+fn a_release_with_a_description_counts_as_answer_and_release() {
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_attempt(7, "paid");
     harness.receive(node, teardown(7, 16, b"there\r\n"));
@@ -71,9 +73,9 @@
     assert_eq!(harness.protocol.session_counts(), counts(0, 0));
 }
 
-/// Seen on a day of replaced nodes (two requests of 18,000, and the day was lost by them): a node accepted a session and
-/// ended it as cancelled by its viewer within the same millisecond. The viewer, who could not know of it, was sent the
-/// answer and nothing more.
+/// A node accepts a session and ends it as cancelled by its viewer within the same millisecond, so that the answer is
+/// not written yet. The viewer has to be told that the request failed; sending only the answer left 2 of 18,000
+/// requests without an end in a run with replaced nodes.
 #[test]
 fn a_session_that_ends_before_its_answer_is_written_fails() {
     let mut harness = Harness::new();
@@ -106,7 +108,8 @@
     assert_eq!(harness.protocol.session_counts(), counts(0, 0));
 }
 
-/// Sessions from before the start get no answer, count once and are released like any other; at an unknown node, at once.
+/// A transferred session gets no answer, counts once and is released like any other; one at an unknown node is released
+/// at once.
 #[test]
 fn transferred_sessions_are_active_once_and_released() {
     let mut harness = Harness::new();
@@ -128,27 +131,28 @@
     assert_eq!(harness.protocol.session_counts(), counts(0, 0));
 }
 
-/// A node's notification of its link may come ahead of the answer to a set-up. It counts only for a set-up that is open.
+/// A notification of the link utilization may arrive before the answer to a set-up. It counts only for a set-up that is
+/// open.
 #[test]
-fn a_notification_ahead_of_the_answer_counts() {
-    let note = |tag: u64| {
+fn a_notification_before_the_answer_counts() {
+    let notification = |tag: u64| {
         format!(
             "ANNOUNCE rtsp://media/x RTSP/1.0\r\nCSeq: 4\r\nSession: {tag:016x}\r\nP-Reason: port\r\nX-Value: 0.940\r\nContent-Length: 0\r\n\r\n"
         )
     };
     let mut harness = Harness::new();
     let (_, node) = harness.start_attempt(7, "paid");
-    harness.receive(node, note(8));
+    harness.receive(node, notification(8));
     assert!(!harness.protocol.status().fullest_servers.contains("0.94"));
-    harness.receive(node, note(7));
-    let worst = harness.protocol.status().fullest_servers;
-    assert!(worst.contains("0.94"), "{worst}");
+    harness.receive(node, notification(7));
+    let servers = harness.protocol.status().fullest_servers;
+    assert!(servers.contains("0.94"), "{servers}");
     harness.receive(node, set_up_answer(7, "there"));
     assert_eq!(harness.protocol.session_counts(), counts(0, 1));
 }
 
-/// A connection breaks under a set-up whose answer may be on its way: a session that is active then is released over the next
-/// connection.
+/// A connection breaks while the answer to a set-up may be in flight: the session that may be active is released over
+/// the next connection.
 #[test]
 fn a_session_behind_a_broken_connection_is_released() {
     let mut harness = Harness::new();
@@ -156,7 +160,7 @@
     let server = harness.node_of(node);
     harness.close(node, false);
     assert!(harness.take_written(viewer).contains(r#""rc":41"#));
-    harness.advance(300 * MS);
+    harness.advance(300 * MILLISECOND);
     let next = harness.connect_next();
     assert_eq!(harness.node_of(next), server);
     let received = harness.take_written(next);
@@ -164,16 +168,16 @@
         received.contains("TEARDOWN") && received.contains("0000000000000007"),
         "{received}"
     );
-    // Closed by the node after its last message: it has cancelled what was open there.
+    // If the node closed the connection after its last message, it has cancelled the set-ups that were open on it.
     let mut harness = Harness::new();
     let (_, node) = harness.start_attempt(7, "paid");
     harness.close(node, true);
-    harness.advance(S);
+    harness.advance(SECOND);
     assert!(harness.node_connections.is_empty());
 }
 
-/// Found by random crossings: a release waits for a socket that takes nothing, or half of it, and the connection ends. It is
-/// sent on the next one.
+/// A release waits for a socket that accepts nothing, or half of it, and the connection closes: it is sent on the next
+/// connection. Found by the random steps.
 #[test]
 fn a_release_not_taken_by_a_node_is_sent_on_the_next_connection() {
     for half in [false, true] {
@@ -181,14 +185,14 @@
         let (viewer, node) = harness.start_session(7, "free");
         harness.take_written(node);
         if half {
-            &mut harness.taking_half
+            &mut harness.writing_partially
         } else {
             &mut harness.refusing_writes
         }
         .insert(node);
         harness.receive(viewer, finish_message(7));
         harness.close(node, false);
-        harness.advance(600 * MS);
+        harness.advance(600 * MILLISECOND);
         let next = harness.connect_next();
         let received = harness.take_written(next);
         assert!(
--- a/crates/platform-proto/tests/settings.rs
+++ b/crates/platform-proto/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings of several customers: names are only names, an order is only an order, and two directors in one process know nothing
-//! of each other.
+//! Independence from settings: names and the order of classes do not change decisions, and two directors in one process
+//! do not affect each other.
 
 mod common;
-use common::{MS, NODE, START, counts, set_up_answer, set_up_refusal, start_message};
+use common::{MILLISECOND, NODE, START, counts, set_up_answer, set_up_refusal, start_message};
 use shalewall::Timestamp;
 use shalewall_platform_proto::config::Config;
 use shalewall_platform_proto::{ConnectError, ConnectionId, DirectorProtocol, Output, Transmit};
@@ -12,7 +12,7 @@
     zone: &str,
     kind: &str,
     tenants: &[&str],
-    turned: bool,
+    reversed: bool,
 ) -> String {
     let class = |name: &str, effect: &str, target: f64, value: f64| {
         format!(r#"{{"Name":"{name}","Effect":"{effect}","Target":{target:?},"Value":{value:?}}}"#)
@@ -21,21 +21,21 @@
         class(classes[0], "at_most_once", 1500.0, 2.0),
         class(classes[1], "idempotent", 1000.0, 1.0),
     ];
-    let (mut scales, mut floors) = (["1.2", "0.8"], ["1", "0"]);
-    if turned {
+    let (mut scales, mut lowest_rungs) = (["1.2", "0.8"], ["1", "0"]);
+    if reversed {
         listed.reverse();
         scales.reverse();
-        floors.reverse();
+        lowest_rungs.reverse();
     }
-    let (scales, floors) = (scales.join(","), floors.join(","));
+    let (scales, lowest_rungs) = (scales.join(","), lowest_rungs.join(","));
     let tenants: Vec<_> = tenants
         .iter()
-        .map(|t| format!(r#"{{"Name":"{t}","Share":0.5,"AllowancePerS":1.0}}"#))
+        .map(|tenant| format!(r#"{{"Name":"{tenant}","Share":0.5,"AllowancePerS":1.0}}"#))
         .collect();
     let members: Vec<_> = (0..2)
-        .map(|n| format!(
-            r#"{{"id":"s-0000000{}","host_port":"{}","locality":"{zone}","flavor":"{kind}","cell":{n},"phase":"ready","size":1}}"#,
-            n + 1, NODE[n]
+        .map(|index| format!(
+            r#"{{"id":"s-0000000{}","host_port":"{}","locality":"{zone}","flavor":"{kind}","cell":{index},"phase":"ready","size":1}}"#,
+            index + 1, NODE[index]
         ))
         .collect();
     format!(
@@ -46,7 +46,7 @@
         "Contract":{{"WarmAfter":0,"StartCapacity":0.4,"OverloadFactor":2.0,"Fall":2000.0}},
         "Limits":{{"MaxAttempts":4,"MayCancel":true,"RetryAfter":true,"MaxRetryAfter":1000.0,"ConnectTimeout":250.0}},
         "Specifics":{{"Places":2,"Cabinets":1,"PlacesByKind":[30],"RungKb":[200,600],"RungWorth":[0.4,1.0],
-        "HighestRung":[1,1],"LowestRung":[{floors}],"ClassScale":[{scales}],"KbPerWeight":9000.0,
+        "HighestRung":[1,1],"LowestRung":[{lowest_rungs}],"ClassScale":[{scales}],"KbPerWeight":9000.0,
         "RackLinkKb":20000.0,"ToldEvery":3000.0}}}}}}"#,
         members.join(","),
         listed.join(","),
@@ -54,13 +54,13 @@
     )
 }
 
-/// One director and all its outputs, in order.
+/// A director whose outputs and written bytes are recorded in order.
 struct Recorder {
     protocol: DirectorProtocol,
     now: Timestamp,
     viewer: ConnectionId,
-    under_way: Vec<ConnectionId>,
-    all: Vec<String>,
+    connecting: Vec<ConnectionId>,
+    outputs: Vec<String>,
 }
 
 impl Recorder {
@@ -74,21 +74,21 @@
             protocol,
             now: START,
             viewer,
-            under_way: Vec::new(),
-            all: Vec::new(),
+            connecting: Vec::new(),
+            outputs: Vec::new(),
         }
     }
 
-    fn pump(&mut self) {
+    fn process_outputs(&mut self) {
         while let Some(output) = self.protocol.poll_output() {
-            self.all.push(format!("{output:?}"));
+            self.outputs.push(format!("{output:?}"));
             match output {
-                Output::Connect { connection, .. } => self.under_way.push(connection),
-                Output::Write(connection) if !self.under_way.contains(&connection) => {
+                Output::Connect { connection, .. } => self.connecting.push(connection),
+                Output::Write(connection) if !self.connecting.contains(&connection) => {
                     while let Transmit::Bytes(bytes) =
                         self.protocol.poll_transmit(self.now, connection)
                     {
-                        self.all.push(format!(
+                        self.outputs.push(format!(
                             "{connection:?} {}",
                             String::from_utf8_lossy(&bytes)
                         ));
@@ -99,20 +99,20 @@
         }
     }
 
-    /// The nth input: the same for each director.
-    fn step(&mut self, n: u64, classes: [&str; 2], tenants: &[&str]) {
-        self.now += 7 * MS;
+    /// Applies the input with this index, which is the same for each director.
+    fn step(&mut self, index: u64, classes: [&str; 2], tenants: &[&str]) {
+        self.now += 7 * MILLISECOND;
         while let Some(due) = self.protocol.poll_timeout().filter(|due| *due <= self.now) {
             self.protocol.handle_timeout(due);
-            self.pump();
+            self.process_outputs();
         }
-        let tag = 1000 + n;
+        let tag = 1000 + index;
         let tenant = if tenants.is_empty() {
             String::new()
         } else {
-            tenants[n as usize % tenants.len()].into()
+            tenants[index as usize % tenants.len()].into()
         };
-        let line = start_message(tag, classes[n as usize % 2], 1500, "").replace(
+        let line = start_message(tag, classes[index as usize % 2], 1500, "").replace(
             r#""hint""#,
             &if tenant.is_empty() {
                 r#""hint""#.into()
@@ -122,30 +122,30 @@
         );
         self.protocol
             .handle_bytes(self.now, self.viewer, line.as_bytes());
-        self.pump();
-        for connection in std::mem::take(&mut self.under_way) {
-            if n % 11 == 3 {
+        self.process_outputs();
+        for connection in std::mem::take(&mut self.connecting) {
+            if index % 11 == 3 {
                 self.protocol
                     .node_connect_failed(self.now, connection, ConnectError::Unreachable);
             } else {
                 self.protocol.node_connected(self.now, connection);
             }
-            self.pump();
-            let word = if n % 5 == 4 {
+            self.process_outputs();
+            let answer = if index % 5 == 4 {
                 set_up_refusal(tag, 453)
             } else {
                 set_up_answer(tag, "there")
             };
             self.protocol
-                .handle_bytes(self.now, connection, word.as_bytes());
-            self.pump();
+                .handle_bytes(self.now, connection, answer.as_bytes());
+            self.process_outputs();
         }
     }
 
-    fn play(text: &str, classes: [&str; 2], tenants: &[&str]) -> Vec<String> {
-        let mut received = Recorder::new(text);
-        (0..300).for_each(|n| received.step(n, classes, tenants));
-        received.all
+    fn run(text: &str, classes: [&str; 2], tenants: &[&str]) -> Vec<String> {
+        let mut recorder = Recorder::new(text);
+        (0..300).for_each(|index| recorder.step(index, classes, tenants));
+        recorder.outputs
     }
 }
 
@@ -154,43 +154,47 @@
 
 #[test]
 fn names_do_not_change_decisions() {
-    let ours = Recorder::play(
+    let ours = Recorder::run(
         &config_text(OWN_CLASSES, "north", "small", &["left", "right"], false),
         OWN_CLASSES,
         &["left", "right"],
     );
-    let theirs = Recorder::play(
+    let theirs = Recorder::run(
         &config_text(OTHER_CLASSES, "quay-9", "brick", &["sand", "salt"], false),
         OTHER_CLASSES,
         &["sand", "salt"],
     );
-    let renamed = |l: &String| {
-        l.replace("P-Kind: seat", "P-Kind: paid")
+    let renamed = |line: &String| {
+        line.replace("P-Kind: seat", "P-Kind: paid")
             .replace("P-Kind: loop", "P-Kind: free")
     };
-    assert!(ours.iter().any(|l| l.contains("SETUP")) && ours.iter().any(|l| l.contains("STARTED")));
+    assert!(
+        ours.iter().any(|line| line.contains("SETUP"))
+            && ours.iter().any(|line| line.contains("STARTED"))
+    );
     assert_eq!(ours, theirs.iter().map(renamed).collect::<Vec<_>>());
 }
 
 #[test]
 fn class_order_does_not_change_decisions() {
-    let ours = Recorder::play(
+    let ours = Recorder::run(
         &config_text(OWN_CLASSES, "north", "small", &[], false),
         OWN_CLASSES,
         &[],
     );
-    let turned = Recorder::play(
+    let reversed = Recorder::run(
         &config_text(OWN_CLASSES, "north", "small", &[], true),
         OWN_CLASSES,
         &[],
     );
-    let set_ups = |all: &[String]| {
-        all.iter()
-            .filter(|l| l.contains("SETUP") || l.contains("verb"))
+    let set_ups = |outputs: &[String]| {
+        outputs
+            .iter()
+            .filter(|line| line.contains("SETUP") || line.contains("verb"))
             .cloned()
             .collect::<Vec<_>>()
     };
-    assert_eq!(set_ups(&ours), set_ups(&turned));
+    assert_eq!(set_ups(&ours), set_ups(&reversed));
 }
 
 #[test]
@@ -200,41 +204,41 @@
         config_text(OTHER_CLASSES, "quay", "brick", &["sand", "salt"], true),
     );
     let alone = (
-        Recorder::play(&a, OWN_CLASSES, &[]),
-        Recorder::play(&b, OTHER_CLASSES, &["sand", "salt"]),
+        Recorder::run(&a, OWN_CLASSES, &[]),
+        Recorder::run(&b, OTHER_CLASSES, &["sand", "salt"]),
     );
     let (mut one, mut two) = (Recorder::new(&a), Recorder::new(&b));
-    for n in 0..300 {
-        one.step(n, OWN_CLASSES, &[]);
-        two.step(n, OTHER_CLASSES, &["sand", "salt"]);
+    for index in 0..300 {
+        one.step(index, OWN_CLASSES, &[]);
+        two.step(index, OTHER_CLASSES, &["sand", "salt"]);
     }
-    assert_eq!((one.all, two.all), alone);
+    assert_eq!((one.outputs, two.outputs), alone);
 }
 
-/// A request for an unknown tenant or class is rejected; where the settings have no tenants the name of one means nothing.
+/// A request for an unknown tenant or class is rejected. Without tenants in the settings the tenant field is ignored.
 #[test]
 fn an_unknown_tenant_or_class_is_rejected() {
-    let mut received = Recorder::new(&config_text(
+    let mut recorder = Recorder::new(&config_text(
         OWN_CLASSES,
         "north",
         "small",
         &["left", "right"],
         false,
     ));
-    received.step(0, OWN_CLASSES, &["nobody"]);
-    received.step(1, OTHER_CLASSES, &["left"]);
+    recorder.step(0, OWN_CLASSES, &["nobody"]);
+    recorder.step(1, OTHER_CLASSES, &["left"]);
     assert_eq!(
-        received
-            .all
+        recorder
+            .outputs
             .iter()
-            .filter(|l| l.contains(r#""rc":95"#))
+            .filter(|line| line.contains(r#""rc":95"#))
             .count(),
         2,
         "{:?}",
-        received.all
+        recorder.outputs
     );
-    assert_eq!(received.protocol.session_counts(), counts(0, 0));
-    let mut received = Recorder::new(&config_text(OWN_CLASSES, "north", "small", &[], false));
-    received.step(0, OWN_CLASSES, &["nobody"]);
-    assert!(received.all.iter().any(|l| l.contains("SETUP")));
+    assert_eq!(recorder.protocol.session_counts(), counts(0, 0));
+    let mut recorder = Recorder::new(&config_text(OWN_CLASSES, "north", "small", &[], false));
+    recorder.step(0, OWN_CLASSES, &["nobody"]);
+    assert!(recorder.outputs.iter().any(|line| line.contains("SETUP")));
 }
--- a/crates/platform-proto/tests/shutdown.rs
+++ b/crates/platform-proto/tests/shutdown.rs
@@ -1,10 +1,10 @@
-//! A director that is told to shut down.
+//! Graceful shutdown of a director.
 
 mod common;
-use common::{Harness, MS, counts, set_up_answer, start_message};
+use common::{Harness, MILLISECOND, counts, set_up_answer, start_message};
 
-/// A request that may wait longer than the director may stay is answered before the end: as rejected where no node had it, as
-/// failed where one may have.
+/// A request whose deadline is after the end of the shutdown is answered before the end: as rejected if it was sent to
+/// no node, as failed if a node may have executed it.
 #[test]
 fn shutdown_answers_requests_in_time_whatever_their_deadline() {
     for sent in [false, true] {
@@ -16,9 +16,9 @@
         }
         harness.protocol.begin_shutdown(harness.now);
         harness.process_outputs();
-        let most = harness.protocol.shutdown_time_limit();
-        for _ in 0..most.as_millis() / 50 - 1 {
-            harness.advance(50 * MS);
+        let time_limit = harness.protocol.shutdown_time_limit();
+        for _ in 0..time_limit.as_millis() / 50 - 1 {
+            harness.advance(50 * MILLISECOND);
         }
         let received = harness.take_written(viewer);
         let rc = if sent { r#""rc":41"# } else { r#""rc":34"# };
@@ -31,7 +31,7 @@
     }
 }
 
-/// A shutdown waits for queued messages, and closes their connections in two steps.
+/// A shutdown waits for queued messages before it closes their connections in two steps.
 #[test]
 fn shutdown_waits_for_unwritten_answers() {
     let mut harness = Harness::new();
--- a/crates/platform-proto/tests/steps/mod.rs
+++ b/crates/platform-proto/tests/steps/mod.rs
@@ -1,11 +1,11 @@
-//! The steps that viewers, nodes, sockets and the endpoint list may take, and how often each is drawn.
+//! Random steps of viewers, nodes, sockets and the endpoint list, with their weights.
 
-use crate::common::MS;
+use crate::common::MILLISECOND;
 use proptest::prelude::*;
 use shalewall::TimeDelta;
 use shalewall_platform_proto::ConnectError;
 
-/// One step. Connections, viewers and requests are indices, counted round.
+/// One step. Connections, viewers and requests are indices modulo the number of candidates.
 #[derive(Clone, Debug)]
 pub enum Step {
     Request {
@@ -31,7 +31,7 @@
         connection: usize,
         status: u16,
     },
-    AnswerIsLost {
+    AnswerLost {
         connection: usize,
     },
     NodeReleases {
@@ -45,17 +45,17 @@
     SocketRefusesWrites {
         connection: usize,
     },
-    SocketTakesHalf {
+    SocketWritesPartially {
         connection: usize,
     },
-    SocketsAreFree,
+    SocketsUnblocked,
     NodeDrains {
         node: u64,
     },
-    NodeIsReady {
+    NodeBecomesReady {
         node: u64,
     },
-    TimePasses(TimeDelta),
+    Advance(TimeDelta),
     ShutdownBegins,
 }
 
@@ -81,15 +81,15 @@
             error: CONNECT_ERRORS[usize::from(error)],
         }),
         6 => (index.clone(), statuses).prop_map(|(connection, status)| Step::NodeAnswers { connection, status }),
-        1 => index.clone().prop_map(|connection| Step::AnswerIsLost { connection }),
+        1 => index.clone().prop_map(|connection| Step::AnswerLost { connection }),
         3 => (index.clone(), causes).prop_map(|(connection, cause)| Step::NodeReleases { connection, cause }),
         1 => (index.clone(), any::<bool>()).prop_map(|(connection, clean)| Step::NodeCloses { connection, clean }),
         2 => index.clone().prop_map(|connection| Step::SocketRefusesWrites { connection }),
-        1 => index.prop_map(|connection| Step::SocketTakesHalf { connection }),
-        2 => Just(Step::SocketsAreFree),
+        1 => index.prop_map(|connection| Step::SocketWritesPartially { connection }),
+        2 => Just(Step::SocketsUnblocked),
         1 => (1..3u64).prop_map(|node| Step::NodeDrains { node }),
-        1 => (1..3u64).prop_map(|node| Step::NodeIsReady { node }),
-        4 => spans.prop_map(|millis| Step::TimePasses(millis * MS)),
+        1 => (1..3u64).prop_map(|node| Step::NodeBecomesReady { node }),
+        4 => spans.prop_map(|millis| Step::Advance(millis * MILLISECOND)),
         1 => Just(Step::ShutdownBegins),
     ]
 }
--- a/crates/platform-proto/tests/untrusted_input.rs
+++ b/crates/platform-proto/tests/untrusted_input.rs
@@ -1,29 +1,31 @@
-//! What nobody should send, and what must stay bounded.
+//! Invalid and hostile input, and bounds on memory.
 
 mod common;
-use common::{Harness, MS, S, counts, set_up_answer, set_up_refusal, start_message, teardown};
+use common::{
+    Harness, MILLISECOND, SECOND, counts, set_up_answer, set_up_refusal, start_message, teardown,
+};
 use proptest::prelude::*;
 use shalewall_platform_proto::endpoint_watch::{Frame, FrameDecoder};
 use shalewall_platform_proto::rtsp::RtspDecoder;
 use shalewall_platform_proto::viewer_message::LineDecoder;
 use shalewall_platform_proto::{ConnectError, MAX_MESSAGE_BYTES};
 
-/// An invalid request is answered, and its connection kept.
+/// An invalid request is answered, and its connection stays open.
 #[test]
 fn an_invalid_request_is_answered_and_reaches_no_node() {
-    let good = start_message(7, "free", 1500, "");
+    let valid = start_message(7, "free", 1500, "");
     let odd = [
-        good.replace("free", "gold"),
-        good.replace("\"1500\"", "\"-5\""),
-        good.replace("\"1500\"", "\"1e99\""),
-        good.replace("\"1500\"", "\"soon\""),
-        good.replace("\"8200.0\"", "\"NaN\""),
-        good.replace("home:0", "home:99"),
-        good.replace("copies:2", "copies:0"),
-        good.replace("copies:2", "copies:4294967296000"),
-        good.replace("top:1", "top:77"),
-        good.replace("7f3a9c21e0b4d655", "7f3a"),
-        good.replace(r#","blob":"here\r\n""#, ""),
+        valid.replace("free", "gold"),
+        valid.replace("\"1500\"", "\"-5\""),
+        valid.replace("\"1500\"", "\"1e99\""),
+        valid.replace("\"1500\"", "\"soon\""),
+        valid.replace("\"8200.0\"", "\"NaN\""),
+        valid.replace("home:0", "home:99"),
+        valid.replace("copies:2", "copies:0"),
+        valid.replace("copies:2", "copies:4294967296000"),
+        valid.replace("top:1", "top:77"),
+        valid.replace("7f3a9c21e0b4d655", "7f3a"),
+        valid.replace(r#","blob":"here\r\n""#, ""),
     ];
     for line in odd {
         let mut harness = Harness::new();
@@ -39,18 +41,18 @@
                 && harness.protocol.session_counts() == counts(0, 0),
             "{line}"
         );
-        harness.receive(viewer, good.replace("0007", "0008"));
+        harness.receive(viewer, valid.replace("0007", "0008"));
         assert_eq!(
             harness.protocol.session_counts(),
             counts(1, 0),
-            "the connection serves on"
+            "the connection still accepts requests"
         );
     }
 }
 
-/// What can't be read closes the connection, and what is open on others goes on.
+/// Input that can't be decoded closes its own connection only.
 #[test]
-fn an_unreadable_viewer_is_closed_alone() {
+fn invalid_input_closes_only_its_own_connection() {
     let long = format!(
         "{{\"verb\":\"START\",\"blob\":\"{}",
         "x".repeat(MAX_MESSAGE_BYTES)
@@ -64,8 +66,8 @@
         "[[[[[[[[\n",
     ];
     let mut harness = Harness::new();
-    let good = harness.connect_viewer();
-    harness.request(good, 1, "free");
+    let valid = harness.connect_viewer();
+    harness.request(valid, 1, "free");
     let mut all_bad = Vec::new();
     for (tag, bytes) in (2..).zip(odd) {
         let bad = harness.connect_viewer();
@@ -74,28 +76,29 @@
         harness.write(bad);
         assert!(
             harness.half_closed.contains(&bad),
-            "this side's half is closed at once: {bytes:.40}"
+            "the write half is closed at once: {bytes:.40}"
         );
         all_bad.push(bad);
         assert_eq!(
             harness.protocol.session_counts(),
             counts(1, 0),
-            "what it had open is given up"
+            "its requests are withdrawn"
         );
     }
     for node in harness.node_connections.keys().copied().collect::<Vec<_>>() {
         harness.connect(node);
         harness.receive(node, set_up_answer(1, "there"));
     }
-    assert_eq!(harness.take_written(good).matches("STARTED").count(), 1);
-    harness.advance(1300 * MS);
+    assert_eq!(harness.take_written(valid).matches("STARTED").count(), 1);
+    harness.advance(1300 * MILLISECOND);
     assert!(
         all_bad.iter().all(|bad| harness.closed.contains(bad)),
-        "and the other, whether they close theirs or not"
+        "the read half is closed as well, even if the viewer does not close its own"
     );
 }
 
-/// Two requests under one id on one connection are both cancelled, and no other connection's request is ended by its id.
+/// Two requests with the same id on one connection are both cancelled; a request is not affected by a duplicate from
+/// another connection.
 #[test]
 fn duplicate_request_ids_are_rejected() {
     let mut harness = Harness::new();
@@ -104,27 +107,27 @@
     assert_eq!(harness.take_written(viewer).matches("FINISH").count(), 1);
     assert!(
         harness.take_written(node).contains("TEARDOWN"),
-        "given up at its node"
+        "cancelled at its node"
     );
     harness.receive(node, set_up_answer(7, "there"));
     assert!(harness.take_written(viewer).is_empty(), "no second answer");
     harness.request(viewer, 7, "paid");
     assert!(
         harness.take_written(viewer).contains("\"rc\":95"),
-        "an id is used once"
+        "the id is not accepted again"
     );
 
     let mut harness = Harness::new();
-    let (viewer, thief) = (harness.connect_viewer(), harness.connect_viewer());
+    let (viewer, other) = (harness.connect_viewer(), harness.connect_viewer());
     harness.request(viewer, 7, "paid");
-    harness.receive(thief, start_message(7, "free", 1500, ""));
-    assert!(harness.take_written(thief).contains("\"rc\":95"));
+    harness.receive(other, start_message(7, "free", 1500, ""));
+    assert!(harness.take_written(other).contains("\"rc\":95"));
     let node = harness.connect_next();
     harness.receive(node, set_up_answer(7, "there"));
     assert!(harness.take_written(viewer).contains("STARTED"));
 }
 
-/// A viewer that withdraws its request gets no answer, and the set-up is cancelled at its node.
+/// A withdrawn request is not answered, and its set-up is cancelled at the node.
 #[test]
 fn a_withdrawn_request_is_cancelled_at_its_node() {
     let mut harness = Harness::new();
@@ -143,14 +146,14 @@
     assert!(harness.take_written(viewer).is_empty());
 }
 
-/// Connections that send nothing, or half a message, are closed in time; one with a session is not.
+/// Connections that send nothing, or half a message, are closed in time; one with a session stays open.
 #[test]
 fn silent_connections_are_closed_within_three_seconds() {
     let mut harness = Harness::new();
     let (silent, half) = (harness.connect_viewer(), harness.connect_viewer());
     harness.receive(half, "{\"verb\":");
     let (viewer, _) = harness.start_session(7, "free");
-    harness.advance(3 * S);
+    harness.advance(3 * SECOND);
     assert!(
         harness.closed.contains(&silent)
             && harness.closed.contains(&half)
@@ -158,7 +161,7 @@
     );
 }
 
-/// Hundreds of silent connections take no usual viewer's place.
+/// Hundreds of silent connections do not keep other viewers out.
 #[test]
 fn silent_connections_are_evicted_for_new_ones() {
     let mut harness = Harness::new();
@@ -171,14 +174,14 @@
     assert_eq!(harness.protocol.session_counts(), counts(0, 1));
 }
 
-/// A fleet and viewers that are always new: nothing grows.
+/// With new nodes and viewers in each round, no table grows.
 #[test]
 fn tables_stay_bounded_over_a_thousand_nodes_and_viewers() {
     let mut harness = Harness::new();
     let mut number = 1u64;
     let mut sizes = Vec::new();
     for round in 0..1000u32 {
-        // Each round a node is new, at the address of one that has gone.
+        // In each round a node is new, at the address of one that is gone.
         let record = |id: u32, state: u8| {
             let mut r = id.to_be_bytes().to_vec();
             r.extend([
@@ -210,7 +213,7 @@
         let mut frames = FrameDecoder::default();
         frames.push(&frame);
         let Ok(Some(frame @ Frame::Event(_))) = frames.frame() else {
-            panic!("not read")
+            panic!("the frame is not decoded")
         };
         harness
             .protocol
@@ -224,7 +227,7 @@
             harness.receive(connection, set_up_answer(1000 + u64::from(round), "there"));
             harness.receive(connection, teardown(1000 + u64::from(round), 16, b""));
         }
-        harness.advance(100 * MS);
+        harness.advance(100 * MILLISECOND);
         harness.close(viewer, true);
         sizes.push(harness.protocol.connection_counts());
     }
@@ -236,7 +239,7 @@
     assert_eq!(harness.protocol.session_counts().pending_requests, 0);
 }
 
-/// A local shortage is charged to no node: the request is forwarded to another.
+/// A local shortage is not counted against the node: the request is forwarded to another.
 #[test]
 fn a_local_shortage_fails_no_paid_request() {
     let mut harness = Harness::new();
@@ -258,9 +261,9 @@
 }
 
 proptest! {
-    /// However a stream is fragmented, the same messages come of it.
+    /// The decoded messages do not depend on how the stream is fragmented.
     #[test]
-    fn fragmentation_changes_no_message(at in prop::collection::vec(any::<usize>(), 0..12)) {
+    fn fragmentation_does_not_change_messages(at in prop::collection::vec(any::<usize>(), 0..12)) {
         let stream = [set_up_answer(1, "one\r\n").into_bytes(), teardown(2, 16, b"\xff\x00"), set_up_refusal(3, 453).into_bytes()].concat();
         let mut reader = RtspDecoder::default();
         let mut tags = Vec::new();
@@ -283,14 +286,15 @@
         prop_assert_eq!(tags, vec!["0000000000000001", "0000000000000002"]);
     }
 
-    /// Any bytes on any connection: an end or an answer, never a panic, and the director serves on.
+    /// Random bytes on any connection are answered or close it, without a panic, and the director still serves
+    /// requests.
     #[test]
     fn random_bytes_cause_no_panic(noise in prop::collection::vec(any::<u8>(), 0..400), to_node in any::<bool>()) {
         let mut harness = Harness::new();
         let (viewer, node) = harness.start_session(7, "free");
         let connection = if to_node { node } else { viewer };
         harness.receive(connection, &noise);
-        harness.advance(S);
+        harness.advance(SECOND);
         let mut frames = FrameDecoder::default();
         frames.push(&noise);
         let _ = frames.frame();
@@ -299,7 +303,7 @@
         prop_assert!(harness.protocol.session_counts().pending_requests <= 1);
     }
 
-    /// A valid message with one byte changed: a viewer is sent what the node sent, or nothing of it.
+    /// A valid message with one corrupted byte: the viewer receives the node's description unchanged, or none.
     #[test]
     fn a_corrupted_byte_forges_no_answer(at in any::<usize>(), byte in any::<u8>()) {
         let mut harness = Harness::new();
--- a/crates/platform-proto/tests/viewer_connections.rs
+++ b/crates/platform-proto/tests/viewer_connections.rs
@@ -1,12 +1,12 @@
-//! Viewers' connections: what they were sent and have not received, and when one may be closed.
+//! Viewers' connections: lines that were not delivered, and when a connection may be closed.
 
 mod common;
-use common::{Harness, MS, S, counts, set_up_answer, start_message, teardown};
+use common::{Harness, MILLISECOND, SECOND, counts, set_up_answer, start_message, teardown};
 use shalewall_platform_proto::viewer_message::ViewerMessage;
 use shalewall_platform_proto::{ConnectionId, HexId};
 
-/// A set-up's answer comes, and the viewer's socket takes nothing (or half of it) before its connection ends: the session
-/// is released at its node.
+/// A viewer's socket accepts nothing, or half, of an answer before the connection closes: the session is released at
+/// its node.
 #[test]
 fn a_session_whose_answer_was_not_delivered_is_released() {
     for half in [false, true] {
@@ -14,7 +14,7 @@
         let (viewer, node) = harness.start_attempt(7, "paid");
         harness.take_written(node);
         if half {
-            &mut harness.taking_half
+            &mut harness.writing_partially
         } else {
             &mut harness.refusing_writes
         }
@@ -29,7 +29,7 @@
         );
         assert_eq!(harness.protocol.session_counts(), counts(0, 0));
     }
-    // One that was written whole goes on without its connection.
+    // After a completely written answer the session continues without its connection.
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_session(7, "paid");
     harness.take_written(node);
@@ -38,29 +38,30 @@
     assert_eq!(harness.protocol.session_counts(), counts(0, 1));
 }
 
-/// A release that was queued, or half written, when its connection ended is sent on another one, or on the next.
+/// A release that was queued or half written when its connection closed is sent on another connection, or on the next
+/// one.
 #[test]
 fn an_unwritten_release_is_sent_on_another_connection() {
     for (half, other) in [(false, false), (true, false), (false, true), (true, true)] {
         let mut harness = Harness::new();
         let (viewer, node) = harness.start_session(7, "free");
         harness.take_written(viewer);
-        let near = if other {
+        let receiver = if other {
             Some(harness.connect_viewer())
         } else {
             None
         };
         if half {
-            &mut harness.taking_half
+            &mut harness.writing_partially
         } else {
             &mut harness.refusing_writes
         }
         .insert(viewer);
         harness.receive(node, teardown(7, 16, b""));
         harness.close(viewer, false);
-        let near = near.unwrap_or_else(|| harness.connect_viewer());
-        harness.write(near);
-        let received = harness.take_written(near);
+        let receiver = receiver.unwrap_or_else(|| harness.connect_viewer());
+        harness.write(receiver);
+        let received = harness.take_written(receiver);
         assert!(
             received.contains(r#""tag":"0000000000000007","opts":{},"rc":16"#),
             "{half} {other}: {received}"
@@ -68,7 +69,7 @@
     }
 }
 
-/// A release reaches its viewer though the connection of its request is gone.
+/// A release reaches its viewer although the connection of its request is closed.
 #[test]
 fn a_release_waits_for_the_viewers_next_connection() {
     let mut harness = Harness::new();
@@ -81,8 +82,9 @@
     assert!(harness.take_written(next).contains(r#""rc":16"#));
 }
 
-/// The last message to a viewer that broke the protocol is not destroyed by what else it has sent: this side's half is closed,
-/// and what comes is ignored until the viewer has closed too, for a bounded time and number of bytes.
+/// Closing a connection with unread bytes may discard the last message to a viewer that violated the protocol. The
+/// write half is closed instead, and received bytes are ignored until the viewer has closed as well, for a bounded time
+/// and number of bytes.
 #[test]
 fn the_last_message_to_a_rejected_viewer_survives_the_close() {
     let mut harness = Harness::new();
@@ -94,17 +96,17 @@
     assert_eq!(
         harness.protocol.session_counts(),
         counts(0, 0),
-        "what comes later is passed over"
+        "later messages are ignored"
     );
     harness.close(viewer, true);
     assert!(harness.closed.contains(&viewer));
-    // It does not close.
+    // The viewer does not close its half.
     let mut harness = Harness::new();
     let viewer = harness.connect_viewer();
     harness.receive(viewer, "no message\n");
-    harness.advance(1300 * MS);
+    harness.advance(1300 * MILLISECOND);
     assert!(harness.closed.contains(&viewer));
-    // It sends without an end.
+    // The viewer keeps sending.
     let mut harness = Harness::new();
     let viewer = harness.connect_viewer();
     harness.receive(viewer, "no message\n");
@@ -114,8 +116,8 @@
     assert!(harness.closed.contains(&viewer));
 }
 
-/// A director that was stalled fires its timers first: a request that waits in the socket of a connection it is about to
-/// close as idle, or as one of too many, is served.
+/// After a stall a director handles its timers first. A request that is unread in the socket of a connection that it is
+/// about to close, as idle or as evicted, still has to be served.
 #[test]
 fn a_connection_with_an_unread_request_is_not_closed() {
     let mut harness = Harness::new();
@@ -129,7 +131,7 @@
         .encode(),
     );
     harness.with_unread_bytes.insert(viewer);
-    harness.advance(12 * S);
+    harness.advance(12 * SECOND);
     assert!(!harness.closed.contains(&viewer));
     harness.with_unread_bytes.clear();
     harness.request(viewer, 7, "free");
@@ -137,7 +139,7 @@
     let node = harness.connect_next();
     harness.receive(node, set_up_answer(7, "there"));
     assert!(harness.take_written(viewer).contains("STARTED"));
-    // A crowd: the 150th needs the room of an idle one, in which something waits.
+    // The connection limit: the 150th connection needs the capacity of an idle one, which has unread bytes.
     let mut harness = Harness::new();
     let first = harness.connect_viewer();
     harness.with_unread_bytes.insert(first);
@@ -160,7 +162,7 @@
     );
     harness.request(first, 7, "free");
     assert_eq!(harness.protocol.session_counts(), counts(1, 0));
-    // Nothing waits in them: they go, and the next ones have their room.
+    // Without unread bytes they are closed, and new connections are accepted.
     harness.with_unread_bytes.clear();
     others
         .iter()
