--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,8 @@
-//! The clock of the program: unix time at the first reading, and monotonic from there on.
+//! The clock of the program: Unix time at the first reading, and monotonic from then on.
 //!
-//! Times of processes on one machine can be compared, as recordings need, and a wall clock that is set back changes
-//! nothing. Only drivers of state machines read the clock ([`now`]); the state machines themselves take the time as an
-//! argument, and say when their next timer is due. [`TimeoutDriver`] calls them then.
+//! Times of processes on one machine can be compared, as recordings require, and setting the wall clock back has no
+//! effect. Only drivers of state machines read the clock ([`now`]); the state machines receive the time as an argument,
+//! and return the due time of their next timer. [`TimeoutDriver`] then calls them.
 
 #![deny(missing_docs)]
 
--- a/crates/clock/src/monotonic.rs
+++ b/crates/clock/src/monotonic.rs
@@ -1,10 +1,10 @@
-//! Unix time, counted by the monotonic clock of the system.
+//! Unix time that advances with the system's monotonic clock.
 
 use shalewall::{TimeDelta, Timestamp};
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The first reading: one moment on both clocks.
+/// The first reading: the same moment on both clocks.
 #[derive(Clone, Copy)]
 struct Origin {
     instant: Instant,
@@ -15,7 +15,7 @@
 
 fn origin() -> Origin {
     *ORIGIN.get_or_init(|| {
-        // A wall clock before 1970 counts as 1970.
+        // A wall clock before 1970 is treated as 1970.
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -26,15 +26,15 @@
     })
 }
 
-/// The present time, from 1970 on.
+/// Returns the current time.
 pub fn now() -> Timestamp {
     let origin = origin();
     let elapsed = origin.instant.elapsed().as_micros() as i64;
     origin.unix_time + TimeDelta::from_micros(elapsed)
 }
 
-/// The instant of a time of this clock, for timers of the system. A time before the first reading gives that of the
-/// first reading; one beyond the range of [`Instant`] gives the present.
+/// Converts a time of this clock to an instant for system timers. A time before the first reading becomes the first
+/// reading; one beyond the range of [`Instant`] becomes the current instant.
 pub fn to_instant(time: Timestamp) -> Instant {
     let origin = origin();
     let since_origin = to_duration(time - origin.unix_time);
@@ -44,7 +44,7 @@
         .unwrap_or_else(Instant::now)
 }
 
-/// A length of time for timers of the system. A negative one gives zero.
+/// Converts a duration for system timers. A negative one becomes zero.
 pub fn to_duration(time: TimeDelta) -> Duration {
     let micros = u64::try_from(time.as_micros()).unwrap_or(0);
     Duration::from_micros(micros)
--- a/crates/clock/src/timeout_driver.rs
+++ b/crates/clock/src/timeout_driver.rs
@@ -1,4 +1,4 @@
-//! Calls a state machine when its next timer is due. For one thread.
+//! Calls a state machine when its next timer is due. Single-threaded.
 
 use crate::{now, to_instant};
 use async_io::Timer;
@@ -7,10 +7,10 @@
 use shalewall::Timestamp;
 use std::cell::Cell;
 
-/// Waits for the next timer of one state machine.
+/// Runs the timers of one state machine.
 #[derive(Debug)]
 pub struct TimeoutDriver {
-    /// The time that [`TimeoutDriver::run`] waits for; [`Timestamp::MAX`] if it waits for none.
+    /// The time that [`TimeoutDriver::run`] waits for; [`Timestamp::MAX`] if no timer is pending.
     armed_for: Cell<Timestamp>,
     rearm: Event,
 }
@@ -25,17 +25,18 @@
 }
 
 impl TimeoutDriver {
-    /// To be called whenever the state machine has handled an input, with the time at which its next timer is due.
+    /// Updates the due time of the next timer; call it whenever the state machine has handled an input.
     ///
-    /// Only an earlier time than the one waited for wakes [`TimeoutDriver::run`]: most timers are set behind it, and
-    /// setting the system's timer anew for each input would cost a wake-up each.
+    /// Only a time earlier than the current one wakes [`TimeoutDriver::run`]: most timers are set for later, and
+    /// resetting the system timer for each input would cost one wake-up each.
     pub fn update(&self, next_timeout: Option<Timestamp>) {
         if next_timeout.unwrap_or(Timestamp::MAX) < self.armed_for.get() {
             self.rearm.notify(1.relaxed());
         }
     }
 
-    /// Calls `handle_timeout` whenever the time that `next_timeout` gives has come, for as long as it is polled.
+    /// Calls `handle_timeout` whenever the time that `next_timeout` returns is reached, for as long as the future is
+    /// polled.
     pub async fn run(
         &self,
         next_timeout: impl Fn() -> Option<Timestamp>,
--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock beside the system's clocks, and the driver of timers.
+//! The clock compared with the system's clocks, and the timeout driver.
 
 use futures_lite::future;
 use shalewall::{TimeDelta, Timestamp};
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[test]
-fn the_clock_tells_unix_time_and_never_goes_back() {
+fn the_clock_returns_unix_time_and_is_monotonic() {
     let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let difference = now().as_micros() - unix_time.as_micros() as i64;
     assert!(difference.abs() < 5_000_000, "{difference} us");
@@ -16,18 +16,18 @@
 }
 
 #[test]
-fn times_of_the_clock_are_instants_of_the_system() {
+fn times_are_converted_to_instants() {
     let time = now();
     let later = to_instant(time + TimeDelta::from_secs(3));
     assert_eq!(later - to_instant(time), Duration::from_secs(3));
     assert!(to_instant(Timestamp::ZERO) <= Instant::now());
     assert!(to_instant(time) <= Instant::now());
-    // Some 290,000 years on: an instant may not reach so far, and asking for it does no harm.
+    // About 290,000 years from now, which may exceed the range of an instant, must not cause a panic.
     let _ = to_instant(Timestamp::MAX);
 }
 
 #[test]
-fn lengths_of_time_are_durations_of_the_system() {
+fn time_deltas_are_converted_to_durations() {
     assert_eq!(
         to_duration(TimeDelta::from_micros(1_500_001)),
         Duration::from_micros(1_500_001)
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn timeouts_are_handled_in_their_order_and_not_early() {
+fn timeouts_are_handled_in_order_and_not_early() {
     let start = now();
     let at = |millis| start + TimeDelta::from_millis(millis);
-    // The last one, which is due first, comes while the driver waits for another.
+    // A third timer, which is due first, is set while the driver waits for another.
     let timers = RefCell::new(vec![at(40), at(60)]);
     let next_timeout = || timers.borrow().iter().min().copied();
     let handled = RefCell::new(Vec::new());
--- a/crates/director-config/src/config.rs
+++ b/crates/director-config/src/config.rs
@@ -1,4 +1,4 @@
-//! The whole settings object, read into its three parts.
+//! The complete settings object and its three parts.
 
 use crate::module_settings::read_module_settings;
 use crate::settings_object::SettingsObject;
@@ -9,16 +9,17 @@
 /// The settings of one director.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectorConfig {
-    /// For the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// What messages call that which the module knows by index.
+    /// Names that messages use where the decision module uses indices.
     pub names: Names,
-    /// For whoever drives the module.
+    /// Limits for the driver of the decision module.
     pub driver_limits: DriverLimits,
 }
 
 impl DirectorConfig {
-    /// Reads the object. Unknown keys are ignored; an absent optional key, or `null` under it, stands for its default.
+    /// Reads the settings from JSON. Unknown keys are ignored; an optional key that is absent or `null` has its
+    /// default.
     pub fn from_json(value: &Value) -> Result<DirectorConfig, SettingError> {
         if !value.is_object() {
             return Err(SettingError::root_is_not_an_object());
--- a/crates/director-config/src/driver_limits.rs
+++ b/crates/director-config/src/driver_limits.rs
@@ -1,20 +1,20 @@
-//! Limits that bind the driver of the decision module: its connections and its table of requests.
+//! Limits of the decision module's driver: its connections and its pending requests.
 
 use crate::SettingError;
 use crate::settings_object::SettingsObject;
 use shalewall::TimeDelta;
 
-/// Limits on how a director goes about its work. A time that the settings lack, or that is not above zero, is none;
-/// the driver then uses a default of its own.
+/// Limits of a director's driver. A time that is absent from the settings, or not positive, is `None`; the driver then
+/// uses its own default.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DriverLimits {
-    /// A connection that is not established within this has failed.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Option<TimeDelta>,
-    /// Connections without traffic are closed by the other side after this.
+    /// Time without traffic after which the other side closes a connection.
     pub idle_timeout: Option<TimeDelta>,
-    /// The longest that a viewer of any class waits for its answer.
+    /// The maximum time that viewers of any class wait for an answer.
     pub max_viewer_wait: Option<TimeDelta>,
-    /// Requests that may be open at once.
+    /// Maximum number of concurrent requests.
     pub max_open_requests: usize,
 }
 
@@ -39,14 +39,14 @@
         let idle_timeout = object.time_delta("Limits.ConnIdle")?;
         let max_open_requests = object.number("Limits.MaxOpen")?;
         Ok(DriverLimits {
-            connect_timeout: above_zero(connect_timeout),
-            idle_timeout: above_zero(idle_timeout),
-            max_viewer_wait: above_zero(max_viewer_wait),
+            connect_timeout: positive(connect_timeout),
+            idle_timeout: positive(idle_timeout),
+            max_viewer_wait: positive(max_viewer_wait),
             max_open_requests: max_open_requests.map_or(usize::MAX, |count| count as usize),
         })
     }
 }
 
-fn above_zero(time: TimeDelta) -> Option<TimeDelta> {
+fn positive(time: TimeDelta) -> Option<TimeDelta> {
     Some(time).filter(|time| *time > TimeDelta::ZERO)
 }
--- a/crates/director-config/src/error.rs
+++ b/crates/director-config/src/error.rs
@@ -1,38 +1,38 @@
-//! Why a settings object can't be used: the path of the value, and what is wrong with it.
+//! Errors of settings objects: the path of an invalid value, and the problem.
 
-/// The path that the object goes by in messages.
+/// The path of the settings object itself in messages.
 const ROOT: &str = "Setup";
 
-/// A setting that can't be used. Nothing is taken of an object that has one.
+/// An invalid setting. No part of a settings object with an invalid setting is used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {problem}")]
 pub struct SettingError {
-    /// Keys and places from the object on, as `Setup.Limits.MaxOpen`. Settings of one class or tenant are named from
-    /// that on, as `Setup.Target`.
+    /// Keys and list indices from the root on, as in `Setup.Limits.MaxOpen`. For a setting of one class or tenant the
+    /// path starts there, as in `Setup.Target`.
     pub path: String,
-    /// What is wrong there.
+    /// The problem with the value.
     pub problem: SettingProblem,
 }
 
-/// What is wrong with a setting.
+/// The problem with a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingProblem {
-    /// The settings are given as something else than an object.
+    /// The settings are not an object.
     #[error("is not an object")]
     NotAnObject,
-    /// A setting without a default is absent.
+    /// A mandatory setting is absent.
     #[error("is missing")]
     Missing,
-    /// A number was expected.
+    /// The value is not a number.
     #[error("is not a number")]
     NotANumber,
-    /// A list was expected.
+    /// The value is not a list.
     #[error("is not a list")]
     NotAList,
-    /// A list of numbers was expected.
+    /// A list of numbers has an element of another type.
     #[error("contains an element that is not a number")]
     ElementNotANumber,
-    /// A list of names was expected.
+    /// A list of names has an element that is not a string.
     #[error("contains an element that is not a string")]
     ElementNotAString,
 }
--- a/crates/director-config/src/lib.rs
+++ b/crates/director-config/src/lib.rs
@@ -1,13 +1,13 @@
-//! The settings of one director: a JSON object, the same on the simulator's wire and in the platform's configuration
-//! file.
+//! The settings of one director: a JSON object with the same format in the simulator's protocol and in the platform's
+//! configuration file.
 //!
-//! [`DirectorConfig::from_json`] turns it into the decision module's [`shalewall::Settings`], the [`Names`] that
-//! messages use for what the module knows by index, and the [`DriverLimits`] that only the module's driver needs.
-//! [`apply_load_value`] reads one value of a load report, [`time_delta_from_millis`] a time of a message, and
-//! [`title_id`] tells the titles of two classes apart.
+//! [`DirectorConfig::from_json`] converts it to the decision module's [`shalewall::Settings`], the [`Names`] that
+//! messages use where the module uses indices, and the [`DriverLimits`] that only the module's driver needs.
+//! [`apply_load_value`] reads one value of a load report, [`time_delta_from_millis`] converts a time of a message, and
+//! [`title_id`] distinguishes titles of different classes.
 //!
-//! The crate knows the object's keys and the module's interface. It opens no file or socket, reads no clock and takes
-//! no decision.
+//! The crate depends only on the object's keys and the module's interface. It opens no files or sockets, reads no clock
+//! and makes no decisions.
 
 #![deny(missing_docs)]
 
--- a/crates/director-config/src/load_report.rs
+++ b/crates/director-config/src/load_report.rs
@@ -1,10 +1,9 @@
-//! Load reports of media nodes: named values in text, in the fields of the module's [`LoadReport`].
+//! Load reports of media nodes: named text values, converted to the fields of the module's [`LoadReport`].
 
 use shalewall::LoadReport;
 use std::num::ParseFloatError;
 
-/// Puts one named value of a load report into the field that the module reads. Unknown names are ignored, whatever
-/// their values are.
+/// Stores one named value of a load report in its field. Unknown names are ignored, whatever their values are.
 pub fn apply_load_value(
     report: &mut LoadReport,
     name: &str,
@@ -17,9 +16,9 @@
         _ => return Ok(()),
     };
     let value = value.parse()?;
-    // `busy` and `util` stop at 1 where the link is overloaded; `x0` does not, so it takes precedence.
-    let stops_at_one = matches!(name, "busy" | "util");
-    if !stops_at_one || field.is_none() {
+    // `busy` and `util` are capped at 1 if the link is overloaded; `x0` is not, so it takes precedence.
+    let is_capped = matches!(name, "busy" | "util");
+    if !is_capped || field.is_none() {
         *field = Some(value);
     }
     Ok(())
--- a/crates/director-config/src/module_settings.rs
+++ b/crates/director-config/src/module_settings.rs
@@ -1,6 +1,6 @@
 //! The decision module's settings, read from the object.
 //!
-//! Where several settings can't be used the error names the first one in the order in which they are read here.
+//! If several settings are invalid, the error is about the first one in the order in which they are read here.
 
 use crate::settings_object::SettingsObject;
 use crate::{Names, SettingError, SettingProblem};
@@ -10,8 +10,8 @@
     TimeDelta,
 };
 
-/// Reads the module's settings, and the names of classes and tenants into `names`, which has those of zones and
-/// machine kinds already.
+/// Reads the module's settings, and adds the names of classes and tenants to `names`, which already contains those of
+/// zones and machine kinds.
 pub(crate) fn read_module_settings(
     object: SettingsObject<'_>,
     names: &mut Names,
@@ -49,13 +49,13 @@
     })
 }
 
-/// Settings of the classes that are given as lists beside them, by the class's place. A list may be too short.
+/// Class settings that are separate lists, indexed by class. A list may be shorter than the number of classes.
 struct ClassColumns<'a> {
     rate_scales: Vec<f64>,
     lowest_rungs: Vec<f64>,
     highest_rungs: Vec<f64>,
     session_limits_per_title: Vec<f64>,
-    are_live: &'a [Value],
+    live_flags: &'a [Value],
 }
 
 impl<'a> ClassColumns<'a> {
@@ -65,12 +65,12 @@
             lowest_rungs: object.numbers("Specifics.LowestRung")?,
             highest_rungs: object.numbers("Specifics.HighestRung")?,
             session_limits_per_title: object.numbers("Specifics.LicenceCap")?,
-            are_live: object.list("Specifics.Live")?,
+            live_flags: object.list("Specifics.Live")?,
         })
     }
 }
 
-/// The ladder, which is given as two lists: the rates, and what each of them is worth.
+/// The ladder, given as two lists: the rates, and the utility of each.
 struct LadderColumns {
     rates_kb_s: Vec<f64>,
     utilities: Vec<f64>,
@@ -91,16 +91,16 @@
     fn rungs(&self) -> Vec<Rung> {
         let rates = self.rates_kb_s.iter().enumerate();
         rates
-            .map(|(place, rate_kb_s)| Rung {
+            .map(|(index, rate_kb_s)| Rung {
                 rate_kb_s: *rate_kb_s,
-                utility: number_at(&self.utilities, place, 0.0),
+                utility: number_at(&self.utilities, index, 0.0),
             })
             .collect()
     }
 }
 
-fn number_at(column: &[f64], place: usize, default: f64) -> f64 {
-    column.get(place).copied().unwrap_or(default)
+fn number_at(column: &[f64], index: usize, default: f64) -> f64 {
+    column.get(index).copied().unwrap_or(default)
 }
 
 fn read_classes(
@@ -113,20 +113,20 @@
         return Err(SettingError::new("Categories", SettingProblem::Missing));
     }
     let mut classes = Vec::new();
-    for (place, class) in object.objects("Categories")?.enumerate() {
+    for (index, class) in object.objects("Categories")?.enumerate() {
         let name = class.text("Name").ok_or_else(|| {
-            let path = format!("Categories.{place}.Name");
+            let path = format!("Categories.{index}.Name");
             SettingError::new(&path, SettingProblem::Missing)
         })?;
         names.classes.push(name.to_string());
-        classes.push(read_class(class, place, columns, top_rung)?);
+        classes.push(read_class(class, index, columns, top_rung)?);
     }
     Ok(classes)
 }
 
 fn read_class(
     class: SettingsObject<'_>,
-    place: usize,
+    index: usize,
     columns: &ClassColumns<'_>,
     top_rung: usize,
 ) -> Result<ClassSettings, SettingError> {
@@ -134,15 +134,15 @@
         Some("idempotent") => Idempotency::Idempotent,
         _ => Idempotency::AtMostOnce,
     };
-    let is_live = columns.are_live.get(place).and_then(Value::as_bool);
-    let session_limit_per_title = number_at(&columns.session_limits_per_title, place, 0.0);
+    let is_live = columns.live_flags.get(index).and_then(Value::as_bool);
+    let session_limit_per_title = number_at(&columns.session_limits_per_title, index, 0.0);
     Ok(ClassSettings {
         idempotency,
         latency_objective: class.time_delta("Target")?,
         priority_weight: class.number_or("Value", 1.0)?,
-        rate_scale: number_at(&columns.rate_scales, place, 1.0),
-        lowest_rung: number_at(&columns.lowest_rungs, place, 0.0) as usize,
-        highest_rung: number_at(&columns.highest_rungs, place, top_rung as f64) as usize,
+        rate_scale: number_at(&columns.rate_scales, index, 1.0),
+        lowest_rung: number_at(&columns.lowest_rungs, index, 0.0) as usize,
+        highest_rung: number_at(&columns.highest_rungs, index, top_rung as f64) as usize,
         session_limit_per_title: session_limit_per_title as u32,
         is_live: is_live.unwrap_or(false),
     })
@@ -158,14 +158,14 @@
         names.tenants.push(name.to_string());
         tenants.push(TenantSettings {
             request_quota_per_s: tenant.number_or("AllowancePerS", 0.0)?,
-            // Not told: the key `Share` is not read.
+            // Not available: the key `Share` is not read.
             fleet_quota: 0.0,
         });
     }
     Ok(tenants)
 }
 
-/// The budget for further attempts; none where neither of its parts is given.
+/// Reads the retry budget; `None` if neither of its parts is given.
 fn read_retry_budget(object: SettingsObject<'_>) -> Result<Option<RetryBudget>, SettingError> {
     let per_request = object.number("Contract.ExtraPerRequest")?;
     let base = object.number("Contract.MinExtra")?;
@@ -199,7 +199,7 @@
         can_cancel: object.flag("Limits.MayCancel"),
         can_check_health: object.flag("Limits.Probes"),
         health_check_price: object.number_or("Deductions.Probe", 0.0)?,
-        // Without `RetryAfter` no advice reaches a viewer, and the longest one is not read.
+        // Without `RetryAfter` viewers get no Retry-After time, and its maximum is not read.
         max_retry_after: if object.flag("Limits.RetryAfter") {
             object.time_delta("Limits.MaxRetryAfter")?
         } else {
--- a/crates/director-config/src/names.rs
+++ b/crates/director-config/src/names.rs
@@ -1,6 +1,6 @@
-//! The names of zones, machine kinds, classes and tenants. Messages use them; the module knows their indices only.
+//! Names of zones, machine kinds, classes and tenants. Messages contain names, while the decision module uses indices.
 
-/// Names in the order of the settings: a name's place is its index in the module.
+/// Names in the order of the settings: the position of a name is its index in the module.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// Zones of the fleet.
@@ -14,22 +14,22 @@
 }
 
 impl Names {
-    /// Index of a zone; none where the settings lack it.
+    /// Returns the index of a zone; `None` if it is not in the settings.
     pub fn zone_index(&self, name: &str) -> Option<usize> {
         index_of(&self.zones, name)
     }
 
-    /// Index of a machine kind; none where the settings lack it.
+    /// Returns the index of a machine kind; `None` if it is not in the settings.
     pub fn machine_kind_index(&self, name: &str) -> Option<usize> {
         index_of(&self.machine_kinds, name)
     }
 
-    /// Index of a class; none where the settings lack it.
+    /// Returns the index of a class; `None` if it is not in the settings.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         index_of(&self.classes, name)
     }
 
-    /// Index of a tenant; none where the settings lack it.
+    /// Returns the index of a tenant; `None` if it is not in the settings.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         index_of(&self.tenants, name)
     }
--- a/crates/director-config/src/settings_object.rs
+++ b/crates/director-config/src/settings_object.rs
@@ -1,11 +1,11 @@
-//! Typed access to the values of the settings object by their paths, with errors that name them.
+//! Typed access to values of the settings object by path, with errors that contain the path.
 
 use crate::{SettingError, SettingProblem, time_delta_from_millis};
 use serde_json::Value;
 use shalewall::TimeDelta;
 
-/// The settings object, or the object of one class or tenant in it. Paths are keys joined by dots; `null` under a
-/// path counts as absent.
+/// The settings object, or the object of one class or tenant in it. Paths are keys separated by dots; `null` counts as
+/// absent.
 #[derive(Clone, Copy)]
 pub(crate) struct SettingsObject<'a> {
     value: &'a Value,
@@ -25,7 +25,7 @@
         self.find(path).filter(|value| !value.is_null())
     }
 
-    /// Whether there is anything under a path, be it `null`.
+    /// Whether a path exists, even with the value `null`.
     pub fn contains(self, path: &str) -> bool {
         self.find(path).is_some()
     }
@@ -41,25 +41,25 @@
         Ok(Some(number))
     }
 
-    /// A number, or what an absent one stands for.
+    /// A number, or the default if it is absent.
     pub fn number_or(self, path: &str, default: f64) -> Result<f64, SettingError> {
         let number = self.number(path)?;
         Ok(number.unwrap_or(default))
     }
 
-    /// A number that has no default.
+    /// A mandatory number.
     pub fn required_number(self, path: &str) -> Result<f64, SettingError> {
         self.number(path)?
             .ok_or_else(|| SettingError::new(path, SettingProblem::Missing))
     }
 
-    /// A time, given in milliseconds; an absent one is zero.
+    /// A time in milliseconds; zero if it is absent.
     pub fn time_delta(self, path: &str) -> Result<TimeDelta, SettingError> {
         let millis = self.number_or(path, 0.0)?;
         Ok(time_delta_from_millis(millis))
     }
 
-    /// A list; an absent one is empty.
+    /// A list; empty if it is absent.
     pub fn list(self, path: &str) -> Result<&'a [Value], SettingError> {
         let Some(value) = self.find_not_null(path) else {
             return Ok(&[]);
@@ -70,7 +70,7 @@
             .ok_or_else(|| SettingError::new(path, SettingProblem::NotAList))
     }
 
-    /// A list of objects; an absent one is empty.
+    /// A list of objects; empty if it is absent.
     pub fn objects(
         self,
         path: &str,
@@ -79,7 +79,7 @@
         Ok(list.iter().map(SettingsObject::new))
     }
 
-    /// A list of numbers; an absent one is empty.
+    /// A list of numbers; empty if it is absent.
     pub fn numbers(self, path: &str) -> Result<Vec<f64>, SettingError> {
         let not_a_number = || SettingError::new(path, SettingProblem::ElementNotANumber);
         let list = self.list(path)?.iter();
@@ -87,7 +87,7 @@
             .collect()
     }
 
-    /// A list of names; an absent one is empty.
+    /// A list of strings; empty if it is absent.
     pub fn texts(self, path: &str) -> Result<Vec<String>, SettingError> {
         let not_a_string = || SettingError::new(path, SettingProblem::ElementNotAString);
         let list = self.list(path)?.iter();
@@ -95,12 +95,12 @@
             .collect()
     }
 
-    /// A text; none where anything else stands there.
+    /// A string; `None` if it is absent or of another type.
     pub fn text(self, path: &str) -> Option<&'a str> {
         self.find(path)?.as_str()
     }
 
-    /// Whether `true` stands there.
+    /// Whether the value is `true`.
     pub fn flag(self, path: &str) -> bool {
         self.find(path).and_then(Value::as_bool).unwrap_or(false)
     }
--- a/crates/director-config/tests/settings_object.rs
+++ b/crates/director-config/tests/settings_object.rs
@@ -1,5 +1,5 @@
-//! The settings object as the platform hands it over: every key that is read, what an absent one stands for, and how
-//! an unreadable one is named.
+//! The platform's settings object: every key that is read, the defaults of absent keys, and the errors for invalid
+//! values.
 
 use serde_json::{Value, json};
 use shalewall::{
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn absent_and_null_keys_switch_off_what_they_govern() {
+fn absent_and_null_keys_have_defaults() {
     let absent = json!({"MyNumber": 0, "Balancers": 1, "Categories": [{"Name": "only"}]});
     let null = json!({
         "MyNumber": 0, "Balancers": 1, "Categories": [{"Name": "only", "Target": null}],
@@ -177,7 +177,7 @@
     }
 }
 
-/// The error's text of a platform configuration with the value at `pointer` replaced, or removed.
+/// Returns the error text of a platform configuration in which the value at `pointer` is replaced, or removed.
 fn error_text(pointer: &str, value: Option<Value>) -> String {
     let mut settings = platform_settings();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn an_unreadable_setting_is_named_by_its_path() {
+fn an_invalid_setting_is_named_by_its_path() {
     let error: SettingError = DirectorConfig::from_json(&json!([])).unwrap_err();
     assert_eq!(error.to_string(), "Setup: is not an object");
     for (pointer, value, expected) in [
--- a/crates/director-config/tests/values.rs
+++ b/crates/director-config/tests/values.rs
@@ -1,4 +1,4 @@
-//! Values that messages and settings have in common: times, titles, names and load reports.
+//! Values that are used in both messages and settings: times, titles, names and load reports.
 
 use shalewall::{LoadReport, TimeDelta, TitleId};
 use shalewall_director_config::{
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn an_item_under_two_classes_is_two_titles() {
+fn an_item_in_two_classes_is_two_titles() {
     assert_eq!(title_id(41, 0), TitleId(41));
     assert_eq!(title_id(41, 1), TitleId(41 + 0x9e37_79b9_7f4a_7c15));
     assert_eq!(title_id(u64::MAX, 2), TitleId(0x3c6e_f372_fe94_f829));
 }
 
 #[test]
-fn names_are_found_by_their_place() {
+fn names_are_mapped_to_their_index() {
     let names = Names {
         zones: vec!["east".into(), "west".into()],
         machine_kinds: vec!["small".into()],
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_load_report_takes_known_values_and_the_utilization_that_is_not_cut_off() {
+fn a_load_report_prefers_the_uncapped_utilization() {
     let mut report = LoadReport::default();
     for (name, value) in [
         ("queue", "not a number"),
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -1,27 +1,27 @@
 //! A queue of timers, ordered by due time. Timers that are due at the same time fire in the order in which they were
 //! set.
 //!
-//! The queue holds no clock: the caller passes the current time to [`Timers::pop_due`]. It is generic over the type of
-//! time as well as over the type that identifies a timer, and knows nothing of either beyond their order.
+//! The queue reads no clock: the caller passes the current time to [`Timers::pop_due`]. It is generic over the type of
+//! time and over the type that identifies a timer, and requires only that both are ordered.
 
 #![deny(missing_docs)]
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Pending timers. `T` says what a timer is for, `Time` is the type of the caller's timestamps.
+/// Pending timers. `T` identifies a timer, `Time` is the type of the caller's timestamps.
 #[derive(Debug)]
 pub struct Timers<T, Time> {
-    /// Due time, number in the order of setting, and timer; the earliest first.
+    /// Due time, sequence number and timer, with the earliest first.
     heap: BinaryHeap<Reverse<(Time, u64, T)>>,
-    timers_set: u64,
+    last_sequence: u64,
 }
 
 impl<T: Ord, Time: Ord> Default for Timers<T, Time> {
     fn default() -> Timers<T, Time> {
         Timers {
             heap: BinaryHeap::new(),
-            timers_set: 0,
+            last_sequence: 0,
         }
     }
 }
@@ -29,16 +29,16 @@
 impl<T: Ord, Time: Copy + Ord> Timers<T, Time> {
     /// Adds a timer that fires once, at `due` or at the first call of [`Timers::pop_due`] after it.
     pub fn set(&mut self, due: Time, timer: T) {
-        self.timers_set += 1;
-        self.heap.push(Reverse((due, self.timers_set, timer)));
+        self.last_sequence += 1;
+        self.heap.push(Reverse((due, self.last_sequence, timer)));
     }
 
-    /// When the earliest pending timer is due.
+    /// Returns the due time of the earliest pending timer.
     pub fn next_due(&self) -> Option<Time> {
         self.heap.peek().map(|Reverse((due, _, _))| *due)
     }
 
-    /// Removes the earliest timer, if it is due at `now`.
+    /// Removes and returns the earliest timer if it is due at `now`.
     pub fn pop_due(&mut self, now: Time) -> Option<T> {
         if self.next_due()? > now {
             return None;
--- a/crates/timers/tests/order.rs
+++ b/crates/timers/tests/order.rs
@@ -3,7 +3,7 @@
 use shalewall_timers::Timers;
 
 #[test]
-fn timers_fire_by_due_time_and_equal_ones_in_the_order_of_setting() {
+fn timers_fire_in_order_of_due_time_then_of_insertion() {
     let mut timers = Timers::default();
     timers.set(20, "late");
     timers.set(10, "z set first");
