--- a/crates/platform/src/accept.rs
+++ b/crates/platform/src/accept.rs
@@ -10,27 +10,27 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Pause after a connection that could not be accepted.
-const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections for as long as it is polled.
+/// Accepts connections for as long as the future is polled.
 pub(crate) async fn accept_viewers(event_loop: Rc<EventLoop>, listener: Async<TcpListener>) {
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                // Most likely out of descriptors: open connections go on, and some of them end.
+                // Most likely out of file descriptors: open connections continue, and some of them will close.
                 warn!(%error, "accept failed");
-                Timer::after(RETRY_DELAY).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        // Many new connections at once are accepted one by one, with turns of the open ones between them.
+        // Yields after each accepted connection, so that a burst of new ones does not block the open ones.
         future::yield_now().await;
         let accepted = catch_panic(|| {
             event_loop.with_protocol(|protocol| protocol.accept_viewer(now(), peer.ip()))
         });
-        // None: there is no room, and dropping the stream closes it.
+        // `None` means that there is no capacity; dropping the stream closes the connection.
         if let Ok(Some(id)) = accepted {
             event_loop.serve_viewer(id, stream);
         }
--- a/crates/platform/src/config_file.rs
+++ b/crates/platform/src/config_file.rs
@@ -1,10 +1,10 @@
-//! The configuration file, read from the disk.
+//! Reads the configuration file.
 
 use crate::error::{ConfigFileError, ConfigFileProblem};
 use shalewall_platform_proto::config::Config;
 use std::path::{Path, PathBuf};
 
-/// Where the configuration of this director is found, now and whenever it is reloaded.
+/// The configuration file of this director, read at the start and at each reload.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfigFile {
     path: PathBuf,
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, to a viewer or a media node: carries bytes between its socket and the protocol's state machine.
+//! One connection to a viewer or a media node: transfers bytes between its socket and the protocol's state machine.
 
 use crate::event_loop::EventLoop;
 use async_io::{Async, Timer};
@@ -15,11 +15,11 @@
 use tracing::{debug, trace};
 
 const READ_BUFFER_BYTES: usize = 4 * 1024;
-/// A connection whose writes fail is still read for so long at most: what the peer sent before it reset the connection
-/// is there, and so is the end.
-const DRAIN_TIME: Duration = Duration::from_secs(1);
+/// Time for which a connection is still read after a write failed: bytes that the peer sent before it reset the
+/// connection are still available, followed by the end of the stream.
+const READ_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connects to a media node, and serves the connection once it is established.
+/// Connects to a media node, and drives the connection once it is established.
 pub(crate) async fn connect_node(
     event_loop: Rc<EventLoop>,
     id: ConnectionId,
@@ -59,7 +59,7 @@
     event_loop: Rc<EventLoop>,
     id: ConnectionId,
     stream: Async<TcpStream>,
-    /// Told when the state machine has something to write.
+    /// Notified when the state machine may have bytes to write.
     write_ready: Rc<Event>,
     write_failed: Cell<bool>,
 }
@@ -67,15 +67,15 @@
 /// How one direction of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamEnd {
-    /// The peer closed its side, or this side is to close.
+    /// The peer closed its side, or this side has to close.
     Closed,
     /// The socket failed.
     Failed,
 }
 
-/// What a read without waiting brought.
+/// Result of a non-blocking read.
 struct Available {
-    /// Bytes in the buffer now.
+    /// Number of bytes in the buffer.
     filled: usize,
     failed: bool,
 }
@@ -87,7 +87,7 @@
         stream: Async<TcpStream>,
         write_ready: Rc<Event>,
     ) -> Connection {
-        // Messages are small and wanted at once. Where this can't be set they only come later.
+        // Small messages have to be sent without delay. If the option can't be set they are only delayed.
         let _ = stream.get_ref().set_nodelay(true);
         Connection {
             event_loop,
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Carries bytes both ways until either side closes, then reports the end. The socket is closed by the drop.
+    /// Transfers bytes in both directions until either side closes, then reports the end. Dropping the connection
+    /// closes the socket.
     pub async fn run(self) {
         let end = future::or(self.read_until_end(), self.write_until_end()).await;
         let clean = end == StreamEnd::Closed && !self.write_failed.get();
@@ -122,18 +123,17 @@
             if available.failed {
                 return StreamEnd::Failed;
             }
-            // A peer that sends without a pause leaves turns to the other connections.
+            // Yields, so that a peer that sends continuously does not starve the other connections.
             future::yield_now().await;
         }
     }
 
-    /// Fills the rest of the buffer with what can be read at once: bytes that arrived together are judged together,
-    /// before any of them is passed on.
+    /// Fills the rest of the buffer without blocking, so that bytes that arrived together are passed on together.
     fn read_available(&self, buffer: &mut [u8], mut filled: usize) -> Available {
         let mut stream = self.stream.get_ref();
         while filled < buffer.len() {
             match stream.read(&mut buffer[filled..]) {
-                // The next read finds the end again.
+                // The next read reports the end again.
                 Ok(0) => break,
                 Ok(count) => filled += count,
                 Err(error) if is_transient(&error) => break,
@@ -158,17 +158,18 @@
         if self.write_until_close().await.is_ok() {
             return StreamEnd::Closed;
         }
-        // The bytes that came before are still there: a client that ends several sessions and goes resets the
-        // connection by the first answer. The reader gets them all to the end, which is there by now.
+        // Bytes that arrived before are still readable: a client that ends several sessions and closes resets the
+        // connection at the first answer. The reader receives all of them up to the end of the stream, which has
+        // already arrived.
         self.write_failed.set(true);
-        Timer::after(DRAIN_TIME).await;
+        Timer::after(READ_DRAIN_TIMEOUT).await;
         StreamEnd::Failed
     }
 
-    /// Writes what the state machine has to send until it wants the connection closed. An error: the socket failed.
+    /// Writes the state machine's bytes until it closes the connection. Returns an error if the socket fails.
     async fn write_until_close(&self) -> io::Result<()> {
         loop {
-            // Listening begins before the state machine is asked, so that nothing new is missed in between.
+            // Listening starts before the state machine is polled, so that no notification is missed in between.
             let write_ready = self.write_ready.listen();
             let transmit = self
                 .event_loop
@@ -180,15 +181,15 @@
                     self.stream.get_ref().shutdown(Shutdown::Write)?;
                     return future::pending().await;
                 }
-                // Unread bytes are read in their turn.
+                // The unread bytes are read by the reader first.
                 Transmit::CloseIfNoUnreadBytes if self.has_unread_bytes() => write_ready.await,
                 Transmit::CloseIfNoUnreadBytes | Transmit::Close => return Ok(()),
             }
         }
     }
 
-    /// Writes bytes whole. Where the socket takes none of them at once they go back to the state machine, which may
-    /// withdraw them; this returns when the socket takes some.
+    /// Writes all bytes. If the socket accepts none of them at once they are returned to the state machine, which may
+    /// withdraw them; this function then returns once the socket is writable.
     async fn write(&self, bytes: Vec<u8>) -> io::Result<()> {
         let written = match self.stream.get_ref().write(&bytes) {
             Ok(written) => written,
@@ -210,7 +211,7 @@
         stream.write_all(&bytes[written..]).await
     }
 
-    /// Whether bytes wait to be read, which a close would destroy.
+    /// Whether the socket has unread bytes, which closing would discard.
     fn has_unread_bytes(&self) -> bool {
         match self.stream.get_ref().peek(&mut [0]) {
             Ok(count) => count > 0,
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -1,5 +1,5 @@
-//! Follows the endpoint list service: one connection, opened anew whenever it ends, falls silent, or the service has
-//! another address.
+//! Follows the endpoint list service over one connection, which is reopened when it closes, sends no frames, or the
+//! service's address changes.
 
 use crate::event_loop::EventLoop;
 use async_io::{Async, Timer};
@@ -16,17 +16,19 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Backoff between attempts. What the service would have told counts as told 2 s after a break.
+/// Bounds of the backoff between connection attempts. The platform expects a director to know the service's events 2 s
+/// after a connection is lost.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// For connecting and sending the position. Together with the silence before, which begins at the last frame, and the
-/// backoff, the next connection brings its events within the 4 s in which they count as told.
+/// Time limit for connecting and sending the position. Together with the frame timeout before, which starts at the last
+/// frame, and the backoff, the next connection delivers its events within the 4 s after which the platform expects a
+/// director to know them.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 const READ_BUFFER_BYTES: usize = 4 * 1024;
 
-/// Address of the service, which a reloaded configuration may change.
+/// Address of the service, which a configuration reload may change.
 pub(crate) struct ServiceAddress {
     address: Cell<SocketAddr>,
     changed: Event,
@@ -40,39 +42,39 @@
         }
     }
 
-    /// Connects anew, to this address: also where it is the same as before.
+    /// Sets the address and reconnects, even if the address is unchanged.
     pub fn set(&self, address: SocketAddr) {
         self.address.set(address);
         self.changed.notify(usize::MAX);
     }
 }
 
-/// Why no more is read from a connection to the service.
+/// Why a connection to the service ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("can't connect: {0}")]
     Connect(#[source] io::Error),
-    #[error("can't connect in time")]
+    #[error("connecting timed out")]
     ConnectTimeout,
-    #[error("the connection broke: {0}")]
+    #[error("reading failed: {0}")]
     Read(#[source] io::Error),
-    #[error("no frame in time")]
-    Silent,
-    #[error("a frame can't be read: {0}")]
-    UnreadableFrame(EndpointWatchError),
-    /// What is missing is asked for on a new connection.
-    #[error("a frame is out of sequence: {0}")]
+    #[error("no complete frame within the timeout")]
+    FrameTimeout,
+    #[error("invalid frame: {0}")]
+    InvalidFrame(EndpointWatchError),
+    /// The missing events are requested on a new connection.
+    #[error("frame out of sequence: {0}")]
     OutOfSequence(EndpointWatchError),
 }
 
 impl WatchError {
-    /// Whether the service was reached and told something before: its next connection is worth an early attempt.
+    /// Whether the backoff is reset, because the service was reachable and sent valid frames before.
     fn resets_backoff(&self, received_frames: bool) -> bool {
-        received_frames && !matches!(self, WatchError::UnreadableFrame(_))
+        received_frames && !matches!(self, WatchError::InvalidFrame(_))
     }
 }
 
-/// Follows the service for as long as it is polled.
+/// Follows the service for as long as the future is polled.
 pub(crate) async fn follow_endpoint_list(
     event_loop: Rc<EventLoop>,
     service_address: Rc<ServiceAddress>,
@@ -82,8 +84,8 @@
         let changed = service_address.changed.listen();
         let address = service_address.address.get();
         let watch = async {
-            let is_alive = watch_once(&event_loop, address).await;
-            backoff = if is_alive {
+            let is_reachable = watch_once(&event_loop, address).await;
+            backoff = if is_reachable {
                 MIN_BACKOFF
             } else {
                 (backoff * 2).min(MAX_BACKOFF)
@@ -98,7 +100,7 @@
     }
 }
 
-/// Reads from one connection until that is of no more use. True where the service is likely to answer soon again.
+/// Reads from one connection until it ends; returns whether the service is likely to accept a new connection soon.
 async fn watch_once(event_loop: &Rc<EventLoop>, address: SocketAddr) -> bool {
     let mut connection = match WatchConnection::open(event_loop.clone(), address).await {
         Ok(connection) => connection,
@@ -116,12 +118,12 @@
     }
 }
 
-/// A connection to the service that knows from which event on it is to tell.
+/// A connection to the service on which the position was sent.
 struct WatchConnection {
     event_loop: Rc<EventLoop>,
     stream: Async<TcpStream>,
     decoder: FrameDecoder,
-    /// Only a whole frame counts: one that arrives byte by byte tells nothing.
+    /// Time of the last complete frame; a partial one does not extend the timeout.
     last_frame_at: Instant,
     received_frames: bool,
 }
@@ -157,7 +159,9 @@
         loop {
             let remaining = frame_timeout.saturating_sub(self.last_frame_at.elapsed());
             let read = in_time(remaining, self.stream.read(&mut buffer)).await;
-            let count = read.ok_or(WatchError::Silent)?.map_err(WatchError::Read)?;
+            let count = read
+                .ok_or(WatchError::FrameTimeout)?
+                .map_err(WatchError::Read)?;
             if count == 0 {
                 return Ok(());
             }
@@ -166,9 +170,9 @@
         }
     }
 
-    /// Gives the state machine the frames that are whole.
+    /// Passes the complete frames to the state machine.
     fn handle_frames(&mut self) -> Result<(), WatchError> {
-        while let Some(frame) = self.decoder.frame().map_err(WatchError::UnreadableFrame)? {
+        while let Some(frame) = self.decoder.frame().map_err(WatchError::InvalidFrame)? {
             self.last_frame_at = Instant::now();
             self.event_loop
                 .with_protocol(|protocol| protocol.handle_watch_frame(now(), &frame))
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a director can't run. Each error names the file, address or setting that it is about.
+//! Errors that prevent a director from running. Each names the file, address or setting concerned.
 
 use shalewall_platform_proto::SettingError;
 use shalewall_platform_proto::error::ConfigError;
@@ -6,47 +6,47 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a director did not start, or ended before it was told to.
+/// Why a director did not start, or ended without a signal.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The system gave no notice of signals.
-    #[error("signals can't be received: {0}")]
+    /// Signal handlers could not be installed or read.
+    #[error("can't receive signals: {0}")]
     Signals(#[source] io::Error),
     /// The configuration file can't be used.
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// The address of the configuration can't be listened on: it is in use, or is none of this machine's.
-    #[error("{address}: can't be listened on: {error}")]
+    /// The configured address can't be bound: it is in use, or does not belong to this machine.
+    #[error("{address}: can't listen: {error}")]
     Listen {
         /// `listen` of the configuration.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         #[source]
         error: io::Error,
     },
 }
 
-/// A configuration file that can't be used.
+/// An invalid configuration file.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {problem}", file.display())]
 pub struct ConfigFileError {
-    /// Where it was looked for.
+    /// Path of the file.
     pub file: PathBuf,
-    /// What is wrong with it.
+    /// The problem with the file.
     #[source]
     pub problem: ConfigFileProblem,
 }
 
-/// What is wrong with a configuration file.
+/// The problem with a configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileProblem {
-    /// It can't be read from the disk.
+    /// The file can't be read.
     #[error("{0}")]
     Unreadable(#[source] io::Error),
-    /// It is no configuration: the text names the path of the field in it.
+    /// The file is not a valid configuration; the message contains the path of the field.
     #[error("{0}")]
     Malformed(#[source] ConfigError),
-    /// Its settings can't be used: the text names the setting.
+    /// The settings are invalid; the message contains the path of the setting.
     #[error("settings: {0}")]
     Settings(#[source] SettingError),
 }
--- a/crates/platform/src/event_loop.rs
+++ b/crates/platform/src/event_loop.rs
@@ -1,8 +1,7 @@
-//! The event loop: owner of the protocol's state machine and of the connections. One thread, no locks.
+//! The event loop: owns the protocol's state machine and the connections. Single-threaded, without locks.
 //!
-//! Whoever has something for the state machine, be it a connection's bytes or a signal, gives it by
-//! [`EventLoop::with_protocol`]. The loop then carries out what the state machine wants done: connections opened,
-//! written or closed.
+//! All inputs for the state machine, such as received bytes or signals, go through [`EventLoop::with_protocol`]. The
+//! loop then executes the outputs of the state machine: it opens, writes or closes connections.
 
 use crate::connection::{Connection, connect_node};
 use crate::panics::{catch_panic, catch_task_panic};
@@ -20,8 +19,8 @@
 
 /// The state machine, its connections and its timers.
 pub(crate) struct EventLoop {
-    /// Runs the connections' tasks. Owned by whoever runs the director: tasks hold the event loop, and an executor
-    /// that it held would never be dropped, nor would they.
+    /// Runs the connections' tasks. A weak reference, because tasks hold the event loop: with a strong one the executor
+    /// and its tasks would never be dropped.
     executor: Weak<LocalExecutor<'static>>,
     protocol: RefCell<DirectorProtocol>,
     connections: RefCell<BTreeMap<ConnectionId, ConnectionHandle>>,
@@ -30,7 +29,7 @@
 
 /// An open connection. Dropping it closes the socket.
 struct ConnectionHandle {
-    /// Wakes the connection when there is something to write.
+    /// Wakes the connection when there may be bytes to write.
     write_ready: Rc<Event>,
     _task: Task<()>,
 }
@@ -45,7 +44,7 @@
         })
     }
 
-    /// Gives the state machine something, and carries out what it wants done then.
+    /// Passes an input to the state machine, then executes its outputs and updates the timer.
     pub fn with_protocol<T>(
         self: &Rc<EventLoop>,
         work: impl FnOnce(&mut DirectorProtocol) -> T,
@@ -56,10 +55,10 @@
         result
     }
 
-    /// Handles the state machine's timers when they are due, for as long as it is polled.
+    /// Handles the state machine's timers when they are due, for as long as the future is polled.
     pub async fn drive_timeouts(self: Rc<EventLoop>) {
         let handle_timeout = || {
-            // A panic is in the log; the timer that it happened in does not come again.
+            // A panic is logged; the timer in which it occurred has been removed and does not fire again.
             let _ = catch_panic(|| {
                 self.with_protocol(|protocol| protocol.handle_timeout(now()));
             });
@@ -69,7 +68,7 @@
             .await;
     }
 
-    /// Carries bytes between a viewer's connection and the state machine until either side closes it.
+    /// Transfers bytes between a viewer's connection and the state machine until either side closes it.
     pub fn serve_viewer(self: &Rc<EventLoop>, id: ConnectionId, stream: Async<TcpStream>) {
         let event_loop = self.clone();
         self.spawn_connection(id, |write_ready| {
@@ -83,7 +82,7 @@
 
     fn process_outputs(self: &Rc<EventLoop>) {
         loop {
-            // A binding of its own ends the borrow before the output is carried out.
+            // The separate binding ends the borrow before the output is executed.
             let output = self.protocol.borrow_mut().poll_output();
             match output {
                 None => return,
@@ -118,7 +117,7 @@
     }
 
     fn close_connection(&self, id: ConnectionId) {
-        // A binding of its own ends the borrow before the task is dropped.
+        // The separate binding ends the borrow before the task is dropped.
         let handle = self.connections.borrow_mut().remove(&id);
         drop(handle);
     }
@@ -146,7 +145,7 @@
         self.connections.borrow_mut().insert(id, handle);
     }
 
-    /// The connection is of no more use. A second panic on the way is in the log, too.
+    /// Reports a connection whose task panicked as closed. A second panic is only logged.
     fn report_closed_after_panic(self: &Rc<EventLoop>, id: ConnectionId) {
         let _ = catch_panic(|| {
             self.with_protocol(|protocol| {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,12 @@
-//! One director of the platform on sockets, as `shalewall direct` starts it.
+//! A director of the platform on sockets, as started by `shalewall direct`.
 //!
 //! The protocol with viewers, media nodes and the endpoint list service is `shalewall-platform-proto`, a state machine
 //! without I/O. This crate drives it on one thread: [`run()`] starts a director and waits for signals, the event loop
-//! owns the state machine and its connections, and further tasks follow the endpoint list, accept viewers, log the
-//! state, reload the configuration file and shut down. A panic ends only the task that it happens in ([`panics`]).
+//! owns the state machine and its connections, and other tasks follow the endpoint list, accept viewers, log the state,
+//! reload the configuration file and shut down. A panic ends only the task in which it occurs ([`panics`]).
 //!
-//! The crate knows sockets, files, signals and the clock. It reads no message, knows no session and takes no decision.
+//! The crate handles sockets, files, signals and the clock. It does not interpret messages, track sessions or make
+//! decisions.
 
 #![deny(missing_docs)]
 
--- a/crates/platform/src/panics.rs
+++ b/crates/platform/src/panics.rs
@@ -1,18 +1,18 @@
-//! A panic is logged with its place, and ends only what it happened in: one connection, or one task.
+//! Panic handling: a panic is logged with its location, and ends only the connection or task in which it occurs.
 //!
-//! State that is shared with what panicked stays as it was at the panic. The protocol's state machine takes each
-//! event off its queues before it handles it, so the same one is not met again.
+//! State that is shared with the panicking task stays as it was at the panic. The protocol's state machine removes each
+//! event from its queue before handling it, so the same event does not cause another panic.
 
 use futures_lite::FutureExt;
 use std::panic::{AssertUnwindSafe, PanicHookInfo, catch_unwind, set_hook};
 use tracing::error;
 
-/// The work panicked. The log has its place and message.
+/// The closure or task panicked. Location and message are in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("panicked: the log says where")]
+#[error("panicked; the location is in the log")]
 pub struct Panicked;
 
-/// From now on each panic of the process is one line of the log: where, and its message.
+/// Installs a panic hook that logs each panic of the process as one line with its location and message.
 pub fn log_panics() {
     set_hook(Box::new(|info: &PanicHookInfo| {
         let place = info.location().map(ToString::to_string).unwrap_or_default();
@@ -27,12 +27,12 @@
     literal.or_else(|| payload.downcast_ref::<String>().map(String::as_str))
 }
 
-/// Does some work, and stops a panic in it.
+/// Runs a closure and catches a panic in it.
 pub fn catch_panic<T>(work: impl FnOnce() -> T) -> Result<T, Panicked> {
     catch_unwind(AssertUnwindSafe(work)).map_err(|_| Panicked)
 }
 
-/// Polls a task, and stops a panic in it.
+/// Polls a task and catches a panic in it.
 pub async fn catch_task_panic<T>(task: impl Future<Output = T>) -> Result<T, Panicked> {
     let outcome = AssertUnwindSafe(task).catch_unwind().await;
     outcome.map_err(|_| Panicked)
--- a/crates/platform/src/protocol_log.rs
+++ b/crates/platform/src/protocol_log.rs
@@ -1,9 +1,9 @@
-//! Writes the protocol's log events, each with its fields.
+//! Writes the protocol's log events with their fields.
 
 use shalewall_platform_proto::LogEvent;
 use tracing::debug;
 
-/// One line with the event's name and its fields.
+/// Logs one event.
 pub(crate) fn log_protocol_event(event: LogEvent) {
     match event {
         LogEvent::NodeConnectionOpened {
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -1,6 +1,6 @@
-//! Reloads the configuration file on SIGHUP: the address of the endpoint list service, and events not known yet.
+//! Reloads the configuration file on SIGHUP: applies the address of the endpoint list service, and new events.
 //!
-//! Name, listener, limits and settings are those of the start; a file that differs in them is logged.
+//! Name, listener, limits and settings are only read at the start; a file that differs in them is logged.
 
 use crate::config_file::ConfigFile;
 use crate::endpoint_watch::ServiceAddress;
@@ -13,35 +13,36 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// A file that can't be read is read again so often, with this delay: it may be in the middle of being written.
-const MAX_ATTEMPTS: u32 = 10;
-const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Number of attempts to read a file, which may be in the middle of being written.
+const MAX_READ_ATTEMPTS: u32 = 10;
+/// Delay between these attempts.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a reload needs.
+/// The state that a reload needs.
 #[derive(Clone)]
 pub(crate) struct Reloader {
     pub config_file: ConfigFile,
-    /// The configuration of the start, without its events.
+    /// The configuration from the start, without its events.
     pub initial_config: Rc<Config>,
     pub event_loop: Rc<EventLoop>,
     pub service_address: Rc<ServiceAddress>,
 }
 
-/// Why nothing of a file is applied.
+/// Why a file is not applied.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// A file in the wrong place names another fleet's service and nodes.
-    #[error("the configuration is another director's: {found}, this is {own}")]
+    /// A file for another director may name the service and nodes of another fleet.
+    #[error("the configuration is another director's: its name is {found}, this director is {own}")]
     OtherDirector { own: String, found: String },
 }
 
 impl Reloader {
-    /// Reads the file and applies it; until it can be read, again and again for a second. Where the file can't be
-    /// applied everything stays as it was.
+    /// Reads and applies the file, with retries for a second if it can't be read. A file that can't be applied changes
+    /// nothing.
     pub async fn reload(self) {
-        for attempt in 0..MAX_ATTEMPTS {
+        for attempt in 0..MAX_READ_ATTEMPTS {
             match self.read() {
                 Ok(config) => return self.apply(&config),
                 Err(error @ ReloadError::OtherDirector { .. }) => {
@@ -51,7 +52,7 @@
                 Err(error) if attempt == 0 => warn!(%error, "configuration unreadable"),
                 Err(_) => {}
             }
-            Timer::after(RETRY_DELAY).await;
+            Timer::after(READ_RETRY_DELAY).await;
         }
     }
 
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -1,4 +1,4 @@
-//! One director from its start to its end.
+//! The lifecycle of a director: start, signals and end.
 
 use crate::accept::accept_viewers;
 use crate::config_file::ConfigFile;
@@ -23,31 +23,30 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Pause before the endpoint list is followed again after a panic.
+/// Delay before the endpoint watch is restarted after a panic.
 const RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// Serves as a director by the configuration in `file`, until told to end by SIGTERM or SIGINT. SIGHUP reloads the
-/// file.
+/// Runs a director with the configuration in `file` until SIGTERM or SIGINT. SIGHUP reloads the file.
 pub fn run(file: &Path) -> Result<(), RunError> {
-    // Before anything else: the default action of these signals ends the process.
+    // Must be first, since the default action of these signals ends the process.
     let mut signals =
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(RunError::Signals)?;
     log_panics();
     let config_file = ConfigFile::new(file);
     let config = config_file.read()?;
-    // Dropped after the director: that drops the tasks, and with them their sockets.
+    // Dropped after the director, which drops the tasks and closes their sockets.
     let executor = Rc::new(LocalExecutor::new());
     let mut director = Director::start(&executor, config_file, config)?;
     async_io::block_on(executor.run(director.handle_signals(&mut signals)))
 }
 
-/// A running director and its tasks; dropping it cancels them.
+/// A running director and its tasks, which are cancelled when it is dropped.
 struct Director {
     executor: Rc<LocalExecutor<'static>>,
     event_loop: Rc<EventLoop>,
     reloader: Reloader,
     shutdown_task: Option<Task<()>>,
-    /// Of the latest SIGHUP: a further one reads anew what the one before it began to read.
+    /// Reload for the latest SIGHUP; a new one replaces a reload that is still running.
     reload_task: Option<Task<()>>,
     _service_tasks: [Task<()>; 4],
 }
@@ -74,7 +73,7 @@
         ];
         let counts = event_loop.with_protocol(|protocol| protocol.connection_counts());
         info!(name = config.name, address = %config.listen, nodes = counts.known_nodes, "listening");
-        // They are applied; only the rest is compared with a reloaded file.
+        // The known events are applied; only the other fields are compared with a reloaded file.
         config.known = Default::default();
         let reloader = Reloader {
             config_file,
@@ -92,7 +91,7 @@
         })
     }
 
-    /// Does what signals ask for, until the director is to end.
+    /// Handles signals until the director has to end.
     async fn handle_signals(&mut self, signals: &mut Signals) -> Result<(), RunError> {
         loop {
             let signal = future::or(signals.next(), self.wait_for_shutdown()).await;
@@ -100,14 +99,14 @@
             match signal {
                 Some(Signal::Hup) => self.start_reload(),
                 Some(_) if self.shutdown_task.is_none() => self.start_shutdown(),
-                // A supervisor may repeat it; only a second SIGINT, from a terminal, ends the process at once.
+                // A supervisor may repeat SIGTERM; only a second SIGINT, from a terminal, ends the process at once.
                 Some(Signal::Term) => info!("shutdown already in progress"),
                 Some(_) | None => return Ok(()),
             }
         }
     }
 
-    /// Ends, with no signal, when the shutdown is done.
+    /// Completes, without a signal, when the shutdown is done.
     async fn wait_for_shutdown(&mut self) -> Option<io::Result<Signal>> {
         match &mut self.shutdown_task {
             Some(task) => task.await,
@@ -133,7 +132,7 @@
         .map_err(|error| RunError::Listen { address, error })
 }
 
-/// Follows the endpoint list, also after a panic.
+/// Follows the endpoint list, and restarts after a panic.
 async fn supervise_endpoint_watch(event_loop: Rc<EventLoop>, service_address: Rc<ServiceAddress>) {
     loop {
         let watch = follow_endpoint_list(event_loop.clone(), service_address.clone());
@@ -144,7 +143,7 @@
     }
 }
 
-/// A panic ends the log of the state, and nothing else.
+/// Logs the state until a panic, which has no other effect.
 async fn log_state_until_panic(event_loop: Rc<EventLoop>) {
     let _ = catch_task_panic(log_state(event_loop)).await;
 }
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: answers what was accepted, holds active sessions for as long as there is time, and closes the
-//! connections after the last byte.
+//! Graceful shutdown: answers accepted requests, keeps active sessions until the time limit, and closes the connections
+//! after their last byte.
 
 use crate::event_loop::EventLoop;
 use async_io::Timer;
@@ -8,15 +8,15 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Requests still arrive for so long after the signal to end, and are to be answered.
-const LATE_REQUESTS: Duration = Duration::from_millis(900);
-/// How often is checked whether everything is answered.
+/// Time after the shutdown signal during which viewers may still send requests, which have to be answered.
+const LATE_REQUEST_WINDOW: Duration = Duration::from_millis(900);
+/// Interval for checking whether the shutdown is complete.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// At the end viewers' connections are closed in two steps, for which there is so long: the platform kills a director
-/// 0.7 s after the longest wait of a viewer, and the steps before end 0.55 s after it.
+/// Time limit for closing viewers' connections in two steps at the end. The platform kills a director 0.7 s after the
+/// longest viewer wait, and the steps before take up to 0.55 s after it.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Ends when the process may.
+/// Completes when the process may exit.
 pub(crate) async fn shut_down(event_loop: Rc<EventLoop>) {
     event_loop.with_protocol(|protocol| protocol.begin_shutdown(now()));
     let sessions = event_loop.with_protocol(|protocol| protocol.session_counts());
@@ -32,16 +32,15 @@
     }
 }
 
-/// Waits until there is neither a request without an answer, nor an active session, nor a byte to write; at most for
-/// the time that the protocol allows.
+/// Waits until there are no pending requests, active sessions or unwritten bytes, up to the protocol's time limit.
 async fn finish_sessions(event_loop: &Rc<EventLoop>) {
     let started_at = Instant::now();
     let time_limit = event_loop.with_protocol(|protocol| protocol.shutdown_time_limit());
-    let time_limit = to_duration(time_limit).max(LATE_REQUESTS);
+    let time_limit = to_duration(time_limit).max(LATE_REQUEST_WINDOW);
     while started_at.elapsed() < time_limit {
         let sessions = event_loop.with_protocol(|protocol| protocol.session_counts());
-        let no_late_requests = started_at.elapsed() >= LATE_REQUESTS;
-        if no_late_requests && sessions.total() == 0 && !has_pending_writes(event_loop) {
+        let late_request_window_ended = started_at.elapsed() >= LATE_REQUEST_WINDOW;
+        if late_request_window_ended && sessions.total() == 0 && !has_pending_writes(event_loop) {
             return;
         }
         Timer::after(CHECK_INTERVAL).await;
--- a/crates/platform/src/state_log.rs
+++ b/crates/platform/src/state_log.rs
@@ -1,4 +1,4 @@
-//! Logs once a second what this director holds and believes, and what it takes of the machine.
+//! Logs the state of the director and its resource usage once per second.
 
 use crate::event_loop::EventLoop;
 use async_io::Timer;
@@ -10,7 +10,7 @@
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 const PAGE_KB: u64 = 4;
 
-/// Logs for as long as it is polled.
+/// Logs for as long as the future is polled.
 pub(crate) async fn log_state(event_loop: Rc<EventLoop>) {
     loop {
         Timer::after(LOG_INTERVAL).await;
@@ -39,7 +39,7 @@
     );
 }
 
-/// Resident memory of this process; 0 where the system does not tell.
+/// Resident memory of this process; 0 if the system does not provide it.
 fn resident_kb() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident_pages = statm.split(' ').nth(1);
@@ -47,7 +47,8 @@
     resident_pages.unwrap_or(0) * PAGE_KB
 }
 
-/// Open descriptors of this process, with the one that counts them; 0 where the system does not tell.
+/// Number of open file descriptors of this process, including the one used for counting; 0 if the system does not
+/// provide it.
 fn open_files() -> usize {
     std::fs::read_dir("/proc/self/fd").map_or(0, |descriptors| descriptors.count())
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A configuration file of one director on loopback sockets.
+//! The configuration file of a director on loopback sockets.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! A director that has ended leaves nothing open. One test, since signals reach the whole process.
+//! A director closes all its sockets and files when it ends. There is only one test, because signals are sent to the
+//! whole process.
 
 mod common;
 
@@ -10,9 +11,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An address of the loopback that is free now.
+/// A free loopback address.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
@@ -23,19 +24,19 @@
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => return stream,
-            Err(error) if started_at.elapsed() > PATIENCE => panic!("{address}: {error}"),
+            Err(error) if started_at.elapsed() > TIMEOUT => panic!("{address}: {error}"),
             Err(_) => std::thread::sleep(Duration::from_millis(10)),
         }
     }
 }
 
-/// Whether the peer has closed a connection; else it would be silent until the read times out.
+/// Whether the peer closes the connection before the read times out.
 fn is_closed(stream: &mut TcpStream) -> bool {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     matches!(stream.read(&mut [0]), Ok(0))
 }
 
-/// Runs a director with a viewer and the endpoint list service connected to it, and ends it by a signal.
+/// Runs a director with a connected viewer and endpoint list service, and ends it by a signal.
 fn run_and_terminate(directory: &Path) {
     let service = TcpListener::bind("127.0.0.1:0").unwrap();
     let listen = free_address();
@@ -52,7 +53,7 @@
         "the endpoint list service's connection"
     );
     assert!(is_closed(&mut viewer), "the viewer's connection");
-    drop(TcpListener::bind(listen).expect("its address is free"));
+    drop(TcpListener::bind(listen).expect("the director's address is free again"));
 }
 
 fn open_files() -> usize {
@@ -60,9 +61,9 @@
 }
 
 #[test]
-fn a_director_that_has_ended_leaves_nothing_open() {
+fn a_director_closes_all_files_when_it_ends() {
     let directory = tempfile::tempdir().unwrap();
-    // The first one leaves what the process keeps for all: descriptors of the reactor and the signal handlers.
+    // The first run also opens descriptors that the process keeps: those of the reactor and the signal handlers.
     run_and_terminate(directory.path());
     let open_before = open_files();
     run_and_terminate(directory.path());
--- a/crates/platform/tests/start_errors.rs
+++ b/crates/platform/tests/start_errors.rs
@@ -1,4 +1,4 @@
-//! A director that can't start says why, and names the file, the field or the address.
+//! A director that can't start reports why, with the file, the field or the address.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use shalewall_platform::{ConfigFileProblem, RunError, run};
 use std::net::{SocketAddr, TcpListener};
 
-const UNUSED: &str = "127.0.0.1:9";
+const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
 fn valid_configuration() -> Value {
-    let address: SocketAddr = UNUSED.parse().unwrap();
+    let address: SocketAddr = UNUSED_ADDRESS.parse().unwrap();
     configuration(address, address)
 }
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_field_that_is_not_readable_is_named() {
+fn an_invalid_field_is_named() {
     let directory = tempfile::tempdir().unwrap();
     let mut configuration = valid_configuration();
     configuration["seed"] = json!("short");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_setting_that_is_missing_is_named() {
+fn a_missing_setting_is_named() {
     let directory = tempfile::tempdir().unwrap();
     let mut configuration = valid_configuration();
     configuration["settings"] = json!({"MyNumber": 0, "Balancers": 1});
@@ -55,10 +55,10 @@
     let address = occupied.local_addr().unwrap();
     let file = write_configuration(
         directory.path(),
-        &configuration(address, UNUSED.parse().unwrap()),
+        &configuration(address, UNUSED_ADDRESS.parse().unwrap()),
     );
     let error = run(&file).unwrap_err();
-    assert!(matches!(&error, RunError::Listen { address: a, .. } if *a == address));
-    let expected = format!("{address}: can't be listened on: Address already in use");
+    assert!(matches!(&error, RunError::Listen { address: named, .. } if *named == address));
+    let expected = format!("{address}: can't listen: Address already in use");
     assert!(error.to_string().starts_with(&expected), "{error}");
 }
