--- a/crates/platform-proto/src/node.rs
+++ b/crates/platform-proto/src/node.rs
@@ -185,18 +185,18 @@
         connectivity: NodeConnectivity,
         now: Timestamp,
     ) -> Reachability {
-        let lasts = |since: Option<Timestamp>, timeout: TimeDelta| {
+        let has_lasted = |since: Option<Timestamp>, timeout: TimeDelta| {
             since.is_some_and(|since| now - since >= timeout)
         };
-        if lasts(self.unreachable_since, UNREACHABLE_TIMEOUT)
-            || lasts(self.refused_since, REFUSED_TIMEOUT)
+        if has_lasted(self.unreachable_since, UNREACHABLE_TIMEOUT)
+            || has_lasted(self.refused_since, REFUSED_TIMEOUT)
         {
             return Reachability::Gone;
         }
         let is_healthy = connectivity.has_healthy_connection;
-        let is_in_doubt = self.unreachable_since.is_some() || self.refused_since.is_some();
+        let has_connect_failure = self.unreachable_since.is_some() || self.refused_since.is_some();
         let is_silent = now - self.last_received_at >= SILENCE_TIMEOUT;
-        let needs_connection = !is_healthy || is_in_doubt || is_silent;
+        let needs_connection = !is_healthy || has_connect_failure || is_silent;
         if !self.may_reconnect(now) || connectivity.is_connecting || !needs_connection {
             return Reachability::Reachable;
         }
