--- a/crates/platform-proto/src/director_protocol/attempts.rs
+++ b/crates/platform-proto/src/director_protocol/attempts.rs
@@ -109,7 +109,7 @@
             }
         }
         if ended.is_answered {
-            self.forget_session(id);
+            self.remove_session(id);
         }
         self.report_end(id, number, server, reported, ended.is_answered);
     }
@@ -194,11 +194,11 @@
         if answer_status == status::OK {
             self.handle_set_up_success(id, connection, message);
         } else {
-            self.handle_set_up_refusal(id, connection, answer_status, message);
+            self.handle_set_up_rejection(id, connection, answer_status, message);
         }
     }
 
-    fn handle_set_up_refusal(
+    fn handle_set_up_rejection(
         &mut self,
         id: SessionId,
         connection: NodeConnectionId,
--- a/crates/platform-proto/src/director_protocol/node_lifecycle.rs
+++ b/crates/platform-proto/src/director_protocol/node_lifecycle.rs
@@ -20,13 +20,13 @@
             return Some(idle);
         }
         self.make_room_for_connection();
-        if !self.node_connections.has_room(server) {
-            let spare = self
+        if !self.node_connections.has_capacity(server) {
+            let evictable = self
                 .node_connections
-                .find_spare(server, |other| self.nodes.has_active_sessions(other));
+                .find_evictable(server, |other| self.nodes.has_active_sessions(other));
             let has_connection = self.node_connections.has_connection(server);
-            match spare.filter(|_| !has_connection) {
-                Some(spare) => self.close_gracefully(spare, CloseReason::NotNeeded),
+            match evictable.filter(|_| !has_connection) {
+                Some(evictable) => self.close_gracefully(evictable, CloseReason::NotNeeded),
                 None => return self.node_connections.find_least_loaded(server),
             }
         }
--- a/crates/platform-proto/src/director_protocol/requests.rs
+++ b/crates/platform-proto/src/director_protocol/requests.rs
@@ -129,7 +129,7 @@
         }
         match self.sessions.get(id).map(|session| &session.stage) {
             Some(Stage::Attempting(_)) => self.cancel_attempt(id, Outcome::Cancelled),
-            Some(Stage::Unassigned) => self.forget_session(id),
+            Some(Stage::Unassigned) => self.remove_session(id),
             Some(Stage::Active(_)) | None => {}
         }
     }
@@ -149,7 +149,7 @@
         }
         let stage = self.sessions.get(id).map(|session| &session.stage);
         if matches!(stage, Some(Stage::Unassigned)) {
-            self.forget_session(id);
+            self.remove_session(id);
         }
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Removes a session that has ended; only its id is kept.
-    pub(super) fn forget_session(&mut self, id: SessionId) {
+    pub(super) fn remove_session(&mut self, id: SessionId) {
         if let Some(viewer) = self.sessions.remove(id) {
             self.viewers.remove_session(viewer, id);
         }
--- a/crates/platform-proto/src/director_protocol/sessions.rs
+++ b/crates/platform-proto/src/director_protocol/sessions.rs
@@ -45,7 +45,7 @@
         if let Some(node) = self.nodes.get_mut(active.server) {
             node.remove_active_session(id);
         }
-        self.forget_session(id);
+        self.remove_session(id);
         if let Some(cause) = viewer_cause {
             let release = ViewerMessage::finish(wire_id, cause);
             self.send_release_to_viewer(viewer, address, release.encode());
--- a/crates/platform-proto/src/node_connection.rs
+++ b/crates/platform-proto/src/node_connection.rs
@@ -217,11 +217,11 @@
 
     /// Queues a message; returns `false` if the queue is full.
     pub(crate) fn enqueue(&mut self, message: OutgoingMessage) -> bool {
-        let has_room = self.queue.len() < MAX_QUEUED_MESSAGES;
-        if has_room {
+        let has_capacity = self.queue.len() < MAX_QUEUED_MESSAGES;
+        if has_capacity {
             self.queue.push_back(message);
         }
-        has_room
+        has_capacity
     }
 
     pub(crate) fn next_outgoing(&mut self) -> Option<OutgoingMessage> {
--- a/crates/platform-proto/src/node_connections.rs
+++ b/crates/platform-proto/src/node_connections.rs
@@ -163,7 +163,7 @@
 
     /// Returns the idle connection to another node that is needed least: the least recently used one that is not the
     /// only one for notifications about active sessions.
-    pub(crate) fn find_spare(
+    pub(crate) fn find_evictable(
         &self,
         server: ServerId,
         has_active_sessions: impl Fn(ServerId) -> bool,
@@ -180,7 +180,7 @@
     }
 
     /// Whether a further connection to the node may be opened.
-    pub(crate) fn has_room(&self, server: ServerId) -> bool {
+    pub(crate) fn has_capacity(&self, server: ServerId) -> bool {
         let to_server = self.by_server.get(&server).map_or(0, BTreeSet::len);
         to_server < MAX_CONNECTIONS_PER_NODE && self.connections.len() < self.max_connections
     }
--- a/crates/platform-proto/tests/attempts.rs
+++ b/crates/platform-proto/tests/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at media nodes: their order, and how answers are handled.
 
 mod common;
-use common::{Harness, MILLISECOND, NODE, START, endpoint_entry, set_up_answer, set_up_refusal};
+use common::{Harness, MILLISECOND, NODE, START, endpoint_entry, set_up_answer, set_up_rejection};
 use shalewall::EndpointState::Gone;
 use shalewall_platform_proto::endpoint_watch::{Frame, FrameDecoder};
 use shalewall_platform_proto::{ConnectError, ConnectionId};
@@ -133,7 +133,7 @@
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_attempt(7, "free");
     harness.take_written(node);
-    harness.receive(node, set_up_refusal(7, 500));
+    harness.receive(node, set_up_rejection(7, 500));
     harness.advance(3 * MILLISECOND);
     harness.receive(node, set_up_answer(7, "there"));
     let received = harness.take_written(node);
@@ -150,7 +150,7 @@
     // The same after its viewer was answered.
     let mut harness = Harness::new();
     let (viewer, node) = harness.start_attempt(7, "paid");
-    harness.receive(node, set_up_refusal(7, 504));
+    harness.receive(node, set_up_rejection(7, 504));
     assert!(harness.take_written(viewer).contains(r#""rc":41"#));
     harness.take_written(node);
     harness.receive(node, set_up_answer(7, "there"));
@@ -171,7 +171,7 @@
         &[endpoint_entry(other, NODE[other as usize - 1], Gone, None)],
     );
     harness.take_written(node);
-    harness.receive(node, set_up_refusal(7, 454));
+    harness.receive(node, set_up_rejection(7, 454));
     harness.advance(50 * MILLISECOND);
     let is_retried = harness.written.values().any(|text| text.contains("SETUP"));
     harness.receive(node, set_up_answer(7, "there"));
--- a/crates/platform-proto/tests/common/mod.rs
+++ b/crates/platform-proto/tests/common/mod.rs
@@ -311,7 +311,7 @@
 }
 
 /// Encodes a node's negative answer to a set-up.
-pub fn set_up_refusal(tag: u64, status: u16) -> String {
+pub fn set_up_rejection(tag: u64, status: u16) -> String {
     format!("RTSP/1.0 {status} No\r\nCSeq: 1\r\nSession: {tag:016x}\r\nContent-Length: 0\r\n\r\n")
 }
 
--- a/crates/platform-proto/tests/endpoint_events.rs
+++ b/crates/platform-proto/tests/endpoint_events.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: missed events, and changed addresses and processes.
 
 mod common;
-use common::{Harness, MILLISECOND, NODE, SECOND, START, endpoint_entry, set_up_refusal};
+use common::{Harness, MILLISECOND, NODE, SECOND, START, endpoint_entry, set_up_rejection};
 use shalewall::EndpointState::{Gone, Ready};
 use shalewall::ServerId;
 use shalewall_platform_proto::endpoint_watch::Frame;
@@ -108,7 +108,7 @@
                 harness.connect(connection);
                 let tags: Vec<u64> = (7..=7).chain(number * 100..number * 100 + 20).collect();
                 tags.into_iter()
-                    .for_each(|tag| harness.receive(connection, set_up_refusal(tag, 453)));
+                    .for_each(|tag| harness.receive(connection, set_up_rejection(tag, 453)));
             }
         }
         if number == 3 {
--- a/crates/platform-proto/tests/model/mod.rs
+++ b/crates/platform-proto/tests/model/mod.rs
@@ -4,7 +4,7 @@
 mod checks;
 
 use crate::common::{
-    Harness, NODE, endpoint_entry, finish_message, set_up_answer, set_up_refusal, start_message,
+    Harness, NODE, endpoint_entry, finish_message, set_up_answer, set_up_rejection, start_message,
     teardown,
 };
 use crate::steps::Step;
@@ -174,8 +174,8 @@
             let answer = set_up_answer(session, "there");
             self.harness.receive(connection, answer);
         } else {
-            let refusal = set_up_refusal(session, status);
-            self.harness.receive(connection, refusal);
+            let rejection = set_up_rejection(session, status);
+            self.harness.receive(connection, rejection);
         }
     }
 
--- a/crates/platform-proto/tests/settings.rs
+++ b/crates/platform-proto/tests/settings.rs
@@ -2,7 +2,7 @@
 //! do not affect each other.
 
 mod common;
-use common::{MILLISECOND, NODE, START, counts, set_up_answer, set_up_refusal, start_message};
+use common::{MILLISECOND, NODE, START, counts, set_up_answer, set_up_rejection, start_message};
 use shalewall::Timestamp;
 use shalewall_platform_proto::config::Config;
 use shalewall_platform_proto::{ConnectError, ConnectionId, DirectorProtocol, Output, Transmit};
@@ -132,7 +132,7 @@
             }
             self.process_outputs();
             let answer = if index % 5 == 4 {
-                set_up_refusal(tag, 453)
+                set_up_rejection(tag, 453)
             } else {
                 set_up_answer(tag, "there")
             };
--- a/crates/platform-proto/tests/untrusted_input.rs
+++ b/crates/platform-proto/tests/untrusted_input.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{
-    Harness, MILLISECOND, SECOND, counts, set_up_answer, set_up_refusal, start_message, teardown,
+    Harness, MILLISECOND, SECOND, counts, set_up_answer, set_up_rejection, start_message, teardown,
 };
 use proptest::prelude::*;
 use shalewall_platform_proto::endpoint_watch::{Frame, FrameDecoder};
@@ -264,7 +264,7 @@
     /// The decoded messages do not depend on how the stream is fragmented.
     #[test]
     fn fragmentation_does_not_change_messages(at in prop::collection::vec(any::<usize>(), 0..12)) {
-        let stream = [set_up_answer(1, "one\r\n").into_bytes(), teardown(2, 16, b"\xff\x00"), set_up_refusal(3, 453).into_bytes()].concat();
+        let stream = [set_up_answer(1, "one\r\n").into_bytes(), teardown(2, 16, b"\xff\x00"), set_up_rejection(3, 453).into_bytes()].concat();
         let mut reader = RtspDecoder::default();
         let mut tags = Vec::new();
         for piece in split_at(&stream, &at) {
--- a/crates/platform-proto/tests/withdrawn_requests.rs
+++ b/crates/platform-proto/tests/withdrawn_requests.rs
@@ -1,7 +1,7 @@
 //! Requests that are withdrawn, or whose viewer disconnects, at every step of an attempt.
 
 mod common;
-use common::{Harness, MILLISECOND, SECOND, counts, finish_message, set_up_refusal};
+use common::{Harness, MILLISECOND, SECOND, counts, finish_message, set_up_rejection};
 use shalewall_platform_proto::ConnectionId;
 
 /// The ways in which a request ends: its viewer closes the connection, the connection breaks, or the request is
@@ -68,7 +68,7 @@
         // waits.
         let mut harness = Harness::new();
         let (viewer, node) = harness.start_attempt(7, "free");
-        harness.receive(node, set_up_refusal(7, 500));
+        harness.receive(node, set_up_rejection(7, 500));
         withdraw(&mut harness, viewer);
         for connection in harness
             .node_connections
