--- a/crates/behavior-digest/src/engine.rs
+++ b/crates/behavior-digest/src/engine.rs
@@ -530,7 +530,7 @@
         let Some(session) = self.draw_playing() else {
             return;
         };
-        self.tell(Input::PlayerFollowing {
+        self.tell(Input::PlayerSubscription {
             session,
             playing_epoch: None,
         });
@@ -709,7 +709,7 @@
     fn plays(&mut self, session: SessionId) {
         self.playing.insert(session, Epoch(0));
         if self.variant.moves && self.random.percent(85) {
-            let input = Input::PlayerFollowing {
+            let input = Input::PlayerSubscription {
                 session,
                 playing_epoch: Some(Epoch(0)),
             };
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -134,11 +134,11 @@
             Input::NodeDown { server } => self.node_down(server),
             Input::TenantsUpdated(updates) => self.tenants_updated(updates),
             Input::EndTenantSessions { tenant } => self.end_tenant_sessions(&tenant),
-            Input::PlayerFollowing {
+            Input::PlayerSubscription {
                 session,
                 playing_epoch: Some(epoch),
             } => self.player_follows(session, epoch),
-            Input::PlayerFollowing {
+            Input::PlayerSubscription {
                 session,
                 playing_epoch: None,
             } => self.player_stopped_following(session),
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -233,7 +233,7 @@
         tenant: String,
     },
     /// A player that can be offered another node opened or closed its event stream.
-    PlayerFollowing {
+    PlayerSubscription {
         /// The session.
         session: SessionId,
         /// The epoch that it plays; none: it can't be offered another node any more.
--- a/crates/engine/tests/migration/world.rs
+++ b/crates/engine/tests/migration/world.rs
@@ -211,7 +211,7 @@
                     self.players.insert(session, player);
                     self.messages.push((
                         self.now + 5 * MILLISECOND,
-                        Input::PlayerFollowing {
+                        Input::PlayerSubscription {
                             session,
                             playing_epoch: Some(Epoch(0)),
                         },
@@ -312,7 +312,7 @@
             self.connect_node(n);
         }
         let playing = self.players.iter().filter(|(_, p)| !p.ended);
-        let follows = |(session, p): (&SessionId, &Player)| Input::PlayerFollowing {
+        let follows = |(session, p): (&SessionId, &Player)| Input::PlayerSubscription {
             session: *session,
             playing_epoch: Some(p.protocol.epoch()),
         };
--- a/crates/server/src/player_events.rs
+++ b/crates/server/src/player_events.rs
@@ -30,7 +30,7 @@
     fn drop(&mut self) {
         let session = self.session;
         if self.event_loop.player_streams.close(session, self.id) {
-            self.event_loop.handle(Input::PlayerFollowing {
+            self.event_loop.handle(Input::PlayerSubscription {
                 session,
                 playing_epoch: None,
             });
@@ -72,7 +72,7 @@
         id,
         events,
     };
-    event_loop.handle(Input::PlayerFollowing {
+    event_loop.handle(Input::PlayerSubscription {
         session,
         playing_epoch: Some(playing_epoch),
     });
