--- a/crates/behavior-digest/src/engine.rs
+++ b/crates/behavior-digest/src/engine.rs
@@ -456,7 +456,7 @@
             return;
         };
         let random = &mut self.random;
-        let told = NodeEvent::LoadNotified {
+        let told = NodeEvent::LoadReported {
             session,
             delivered_fraction: random.percent(50).then(|| random.pick(&[1.0, 1.0, 0.8])),
             link_utilization: random.percent(70).then(|| random.share()),
--- a/crates/engine/src/engine/nodes.rs
+++ b/crates/engine/src/engine/nodes.rs
@@ -99,7 +99,7 @@
 
     pub(super) fn node_notified(&mut self, server: ServerId, event: NodeEvent) {
         match event {
-            NodeEvent::LoadNotified {
+            NodeEvent::LoadReported {
                 session,
                 delivered_fraction,
                 link_utilization,
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -150,7 +150,7 @@
         epoch: Epoch,
     },
     /// The node's load, reported with one of the sessions there.
-    LoadNotified {
+    LoadReported {
         /// The session.
         session: SessionId,
         /// Part of the rate that reaches the viewers.
--- a/crates/engine/tests/migration/main.rs
+++ b/crates/engine/tests/migration/main.rs
@@ -327,7 +327,7 @@
         .find(|(_, p)| p.protocol.node().0 == 3)
         .expect("somebody there")
         .0;
-    let full = NodeEvent::LoadNotified {
+    let full = NodeEvent::LoadReported {
         session: one,
         delivered_fraction: None,
         link_utilization: Some(0.88),
--- a/crates/server/src/node/events.rs
+++ b/crates/server/src/node/events.rs
@@ -176,7 +176,7 @@
             attempt: number("attempt")?,
             epoch: Epoch(number("epoch")?),
         },
-        "figures" => NodeEvent::LoadNotified {
+        "figures" => NodeEvent::LoadReported {
             session,
             delivered_fraction: part("delivered"),
             link_utilization: part("link"),
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -646,7 +646,7 @@
             uplink,
         } in news
         {
-            let told = NodeEvent::LoadNotified {
+            let told = NodeEvent::LoadReported {
                 session: SessionId(session),
                 delivered_fraction: delivered,
                 link_utilization: link,
