--- a/crates/behavior-digest/src/engine.rs
+++ b/crates/behavior-digest/src/engine.rs
@@ -757,7 +757,7 @@
         for count in [
             held.waiting,
             held.playing,
-            held.leaving,
+            held.ending,
             held.unconfirmed_ends,
             held.migrating,
         ] {
--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -228,7 +228,7 @@
     /// Set up and playing.
     pub playing: usize,
     /// Over for their viewers, not yet at their nodes.
-    pub leaving: usize,
+    pub ending: usize,
     /// Ends that nodes have not confirmed yet.
     pub unconfirmed_ends: usize,
     /// Of those that play, how many are migrating.
--- a/crates/engine/src/session_table.rs
+++ b/crates/engine/src/session_table.rs
@@ -153,7 +153,7 @@
             match session.stage {
                 Stage::Deciding | Stage::SettingUp(_) => counts.waiting += 1,
                 Stage::Playing { .. } => counts.playing += 1,
-                Stage::Leaving { .. } => counts.leaving += 1,
+                Stage::Leaving { .. } => counts.ending += 1,
             }
         }
         counts
--- a/crates/engine/tests/migration/world.rs
+++ b/crates/engine/tests/migration/world.rs
@@ -339,7 +339,7 @@
         assert_eq!(
             (
                 held.waiting,
-                held.leaving,
+                held.ending,
                 held.unconfirmed_ends,
                 held.migrating
             ),
--- a/crates/engine/tests/sessions/main.rs
+++ b/crates/engine/tests/sessions/main.rs
@@ -40,7 +40,7 @@
         }
         let held = simulation.engine.session_counts();
         assert_eq!(
-            (held.waiting, held.leaving, held.unconfirmed_ends),
+            (held.waiting, held.ending, held.unconfirmed_ends),
             (0, 0, 0),
             "seed {seed}"
         );
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -147,7 +147,7 @@
     loop {
         let counts = event_loop.session_counts();
         let is_over = Instant::now() >= deadline;
-        let playing = counts.playing + counts.leaving + counts.unconfirmed_ends;
+        let playing = counts.playing + counts.ending + counts.unconfirmed_ends;
         if counts.waiting == 0 && (playing == 0 || is_over) {
             return;
         }
--- a/crates/server/src/viewer_api.rs
+++ b/crates/server/src/viewer_api.rs
@@ -108,7 +108,7 @@
             "waiting": counts.waiting,
             "playing": counts.playing,
             "moving": counts.migrating,
-            "leaving": counts.leaving,
+            "leaving": counts.ending,
             "owed_ends": counts.unconfirmed_ends,
         });
         if let Some(tenants) = &self.tenants {
