--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -159,10 +159,10 @@
     }
 
     /// A session that has these numbers is under way.
-    pub fn hold(&mut self, class: usize, tenant: Option<usize>) {
-        self.classes.hold(class);
+    pub fn acquire(&mut self, class: usize, tenant: Option<usize>) {
+        self.classes.acquire(class);
         if let Some(tenant) = tenant {
-            self.quotas.hold(tenant);
+            self.quotas.acquire(tenant);
         }
     }
 
--- a/crates/engine/src/catalogue/number_pool.rs
+++ b/crates/engine/src/catalogue/number_pool.rs
@@ -35,7 +35,7 @@
         let is_equal = |entry: &Entry<T>| entry.holders > 0 && entry.value == value;
         match self.0.iter().position(is_equal) {
             Some(number) => {
-                self.hold(number);
+                self.acquire(number);
                 number
             }
             None => self.allocate(value),
@@ -43,7 +43,7 @@
     }
 
     /// One more holds a number.
-    pub fn hold(&mut self, number: usize) {
+    pub fn acquire(&mut self, number: usize) {
         self.0[number].holders += 1;
     }
 
--- a/crates/engine/src/engine/recovery.rs
+++ b/crates/engine/src/engine/recovery.rs
@@ -179,7 +179,7 @@
         let Ok(names) = resolved else {
             return false;
         };
-        self.catalogue.hold(names.class, names.tenant);
+        self.catalogue.acquire(names.class, names.tenant);
         let request = Request {
             session: held.session,
             class: names.class,
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -129,7 +129,7 @@
         asked: SessionRequest,
         names: ResolvedNames,
     ) {
-        self.catalogue.hold(names.class, names.tenant);
+        self.catalogue.acquire(names.class, names.tenant);
         let max_wait = asked.max_wait.unwrap_or(names.max_wait);
         let request = Request {
             session: self.sessions.allocate_id(),
--- a/crates/engine/tests/catalogue.rs
+++ b/crates/engine/tests/catalogue.rs
@@ -54,7 +54,7 @@
     );
 
     // A session of a plays with the old settings while they change, and while a is gone.
-    catalogue.hold(a.class, a.tenant);
+    catalogue.acquire(a.class, a.tenant);
     catalogue.set_terms("a", Some(terms(1.0, 9.0, &[])));
     assert_ne!(resolve(&catalogue, "a").class, a.class);
     assert_eq!(
