--- a/crates/test-harness/src/day.rs
+++ b/crates/test-harness/src/day.rs
@@ -1,11 +1,11 @@
 //! A day: directors, nodes, journal service and viewers, and what happens to them when.
 
 use crate::director::Director;
+use crate::faulty_director::{DirectorFault, FaultyDirector};
 use crate::journal::{Journal, Line};
-use crate::lies::{Liar, Lie};
-use crate::node::{Mood, Node};
+use crate::node::{Node, NodeBehavior};
 use crate::now;
-use crate::tape::{Tape, rules};
+use crate::recorder::{Recorder, rules};
 use crate::viewer::Viewers;
 use shalewall_audit::Verdict;
 use std::io::{self, Write};
@@ -23,26 +23,26 @@
 
 /// Something that happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DayEvent {
     /// A node drains, or is gone from the list; its process goes on.
-    Drain(usize),
-    Gone(usize),
+    DrainNode(usize),
+    RemoveNode(usize),
     /// A node's process dies, and starts again: the list tells of it.
-    Die(usize),
-    Back(usize),
-    Turn(usize, Mood),
+    KillNode(usize),
+    RestartNode(usize),
+    SetNodeBehavior(usize, NodeBehavior),
     /// A director is killed, told to end, started.
-    Kill(usize),
-    Leave(usize),
-    Start(usize),
+    KillDirector(usize),
+    StopDirector(usize),
+    StartDirector(usize),
     /// The journal service breaks off, and is back.
-    JournalAway(bool),
+    SetJournalOutage(bool),
     /// Its open connections fall silent and stay open.
-    JournalHush,
+    SilenceJournal,
     /// Clients that send what is no message, to every director.
-    Noise,
+    SendMalformedRequests,
     /// A wrong director's node from now on.
-    Favour(usize),
+    SetPreferredNode(usize),
 }
 
 /// A day's plan. Troubles in order of time, in milliseconds.
@@ -51,48 +51,50 @@
     pub nodes: u32,
     pub seconds: u64,
     pub seed: u64,
-    pub lie: Option<Lie>,
-    pub troubles: Vec<(u64, Trouble)>,
+    pub fault: Option<DirectorFault>,
+    pub events: Vec<(u64, DayEvent)>,
 }
 
 /// What came of it.
 pub struct Outcome {
     pub verdict: Verdict,
-    pub odd: Vec<String>,
+    pub violations: Vec<String>,
     /// When it began, on the clock of the records.
-    pub begun: i64,
-    pub asked: u64,
+    pub started_at: i64,
+    pub requests: u64,
     /// Directors that were not there at the end, or did not go when told.
-    pub fallen: Vec<u32>,
+    pub failed_directors: Vec<u32>,
     /// What the directors logged.
     pub logs: String,
 }
 
 struct World {
-    tape: Tape,
+    recorder: Recorder,
     journal: Journal,
     nodes: Vec<Arc<Node>>,
     list: Vec<Line>,
     directors: Vec<Director>,
     viewers: Vec<Viewers>,
-    liar: Option<Arc<Liar>>,
-    fallen: Vec<u32>,
+    faulty_director: Option<Arc<FaultyDirector>>,
+    failed_directors: Vec<u32>,
 }
 
 impl World {
     fn begin(binary: &Path, dir: &Path, plan: &Plan) -> io::Result<World> {
-        let tape = Tape::default();
-        let journal = Journal::start(tape.clone(), plan.directors)?;
-        let nodes = (1..=plan.nodes).map(|id| Node::start(id, plan.seed, tape.clone()));
+        let recorder = Recorder::default();
+        let journal = Journal::start(recorder.clone(), plan.directors)?;
+        let nodes = (1..=plan.nodes).map(|id| Node::start(id, plan.seed, recorder.clone()));
         let nodes = nodes.collect::<io::Result<Vec<_>>>()?;
         let ports: Vec<u16> = nodes.iter().map(|n| n.port).collect();
-        let liar = plan.lie.map(|lie| Liar::new(lie, ports));
-        let to_nodes = liar
+        let faulty_director = plan.fault.map(|fault| FaultyDirector::new(fault, ports));
+        let to_nodes = faulty_director
             .as_ref()
-            .filter(|_| plan.lie.is_some_and(|l| !l.to_viewers()));
+            .filter(|_| plan.fault.is_some_and(|l| !l.to_viewers()));
         let mut list = Vec::new();
         for node in &nodes {
-            let port = to_nodes.map_or(Ok(node.port), |liar| liar.before(node.port))?;
+            let port = to_nodes.map_or(Ok(node.port), |faulty_director| {
+                faulty_director.before(node.port)
+            })?;
             list.push(Line {
                 node: node.id,
                 port,
@@ -101,49 +103,51 @@
                 started: 0,
             });
         }
-        let listens = match liar.as_ref().filter(|l| l.ignores_silence()) {
-            Some(liar) => liar.before_list(journal.port)?,
+        let listens = match faulty_director.as_ref().filter(|l| l.ignores_silence()) {
+            Some(faulty_director) => faulty_director.before_list(journal.port)?,
             None => journal.port,
         };
         let (mut directors, mut viewers) = (Vec::new(), Vec::new());
         for number in 0..plan.directors {
-            let mut director = Director::new(binary, dir, number, tape.clone())?;
+            let mut director = Director::new(binary, dir, number, recorder.clone())?;
             director.start(listens, &list, plan.directors)?;
-            let to_viewers = liar.as_ref().filter(|_| to_nodes.is_none());
-            let port = to_viewers.map_or(Ok(director.port), |liar| liar.before(director.port))?;
-            viewers.push(Viewers::start(number, port, plan.seed, tape.clone()));
+            let to_viewers = faulty_director.as_ref().filter(|_| to_nodes.is_none());
+            let port = to_viewers.map_or(Ok(director.port), |faulty_director| {
+                faulty_director.before(director.port)
+            })?;
+            viewers.push(Viewers::start(number, port, plan.seed, recorder.clone()));
             directors.push(director);
         }
         Ok(World {
-            tape,
+            recorder,
             journal,
             nodes,
             list,
             directors,
             viewers,
-            liar,
-            fallen: Vec::new(),
+            faulty_director,
+            failed_directors: Vec::new(),
         })
     }
 
-    fn happen(&mut self, trouble: Trouble) -> io::Result<()> {
-        match trouble {
-            Trouble::Drain(n) => self.journal.tell(
+    fn apply(&mut self, event: DayEvent) -> io::Result<()> {
+        match event {
+            DayEvent::DrainNode(n) => self.journal.tell(
                 Line {
                     state: 1,
                     ..self.list[n]
                 },
                 None,
             ),
-            Trouble::Gone(n) => self.journal.tell(
+            DayEvent::RemoveNode(n) => self.journal.tell(
                 Line {
                     state: 2,
                     ..self.list[n]
                 },
                 None,
             ),
-            Trouble::Die(n) => self.nodes[n].die(),
-            Trouble::Back(n) => {
+            DayEvent::KillNode(n) => self.nodes[n].die(),
+            DayEvent::RestartNode(n) => {
                 let up = self.nodes[n].live(false)?;
                 self.journal.tell(
                     Line {
@@ -153,30 +157,35 @@
                     Some(up),
                 );
             }
-            Trouble::Turn(n, mood) => self.nodes[n].mood(mood),
-            Trouble::Kill(d) => {
+            DayEvent::SetNodeBehavior(n, behavior) => self.nodes[n].set_behavior(behavior),
+            DayEvent::KillDirector(d) => {
                 self.viewers[d].paused.store(true, Ordering::Relaxed);
                 self.directors[d].kill();
             }
-            Trouble::Leave(d) if self.liar.as_ref().is_some_and(|l| l.ends_at_once()) => {
+            DayEvent::StopDirector(d)
+                if self
+                    .faulty_director
+                    .as_ref()
+                    .is_some_and(|l| l.ends_at_once()) =>
+            {
                 self.directors[d].crash()
             }
-            Trouble::Leave(d) => {
+            DayEvent::StopDirector(d) => {
                 // The front has taken it out: its viewers ask it no more.
                 self.viewers[d].paused.store(true, Ordering::Relaxed);
                 thread::sleep(Duration::from_millis(200));
                 if !self.directors[d].leave(LEAVES) {
-                    self.fallen.push(d as u32);
+                    self.failed_directors.push(d as u32);
                 }
             }
-            Trouble::Start(d) => {
+            DayEvent::StartDirector(d) => {
                 let directors = self.directors.len() as u32;
                 self.directors[d].start(self.journal.port, &self.list, directors)?;
                 self.viewers[d].paused.store(false, Ordering::Relaxed);
             }
-            Trouble::JournalHush => self.journal.hush(),
-            Trouble::JournalAway(away) => self.journal.away(away),
-            Trouble::Noise => {
+            DayEvent::SilenceJournal => self.journal.hush(),
+            DayEvent::SetJournalOutage(away) => self.journal.away(away),
+            DayEvent::SendMalformedRequests => {
                 for director in &self.directors {
                     for noise in [
                         &b"{\"verb\":\"START\",\"tag\":\n"[..],
@@ -191,10 +200,10 @@
                     }
                 }
             }
-            Trouble::Favour(n) => {
-                self.liar
-                    .iter()
-                    .for_each(|liar| liar.favoured.store(n, Ordering::Relaxed));
+            DayEvent::SetPreferredNode(n) => {
+                self.faulty_director.iter().for_each(|faulty_director| {
+                    faulty_director.preferred_node.store(n, Ordering::Relaxed)
+                });
             }
         }
         Ok(())
@@ -204,30 +213,30 @@
 /// Plays a day with processes of the program in `binary`; their files and logs go to `dir`.
 pub fn play(binary: &Path, dir: &Path, plan: &Plan) -> io::Result<Outcome> {
     let mut world = World::begin(binary, dir, plan)?;
-    let begun = Instant::now();
-    world.tape.open().begun = now();
-    for (at, trouble) in &plan.troubles {
-        thread::sleep(Duration::from_millis(*at).saturating_sub(begun.elapsed()));
-        world.happen(*trouble)?;
+    let started_at = Instant::now();
+    world.recorder.open().started_at = now();
+    for (at, event) in &plan.events {
+        thread::sleep(Duration::from_millis(*at).saturating_sub(started_at.elapsed()));
+        world.apply(*event)?;
     }
-    thread::sleep(Duration::from_secs(plan.seconds).saturating_sub(begun.elapsed()));
+    thread::sleep(Duration::from_secs(plan.seconds).saturating_sub(started_at.elapsed()));
     world
         .viewers
         .iter()
         .for_each(|v| v.paused.store(true, Ordering::Relaxed));
     thread::sleep(SETTLE);
-    let mut fallen = world.fallen.clone();
+    let mut failed_directors = world.failed_directors.clone();
     for director in &mut world.directors {
         if !director.runs() {
-            fallen.push(director.number);
+            failed_directors.push(director.number);
         }
     }
     // Judged before they end: who is told to end at the same time is no part of the day.
-    let (verdict, odd) = world.tape.judged(&rules());
-    let asked = world
+    let (verdict, violations) = world.recorder.judged(&rules());
+    let requests = world
         .viewers
         .iter()
-        .map(|v| v.asked.load(Ordering::Relaxed))
+        .map(|v| v.request_count.load(Ordering::Relaxed))
         .sum();
     world.directors.iter_mut().for_each(Director::kill);
     world.viewers.iter_mut().for_each(Viewers::end);
@@ -235,13 +244,13 @@
         .directors
         .iter()
         .map(|d| std::fs::read_to_string(d.log()).unwrap_or_default());
-    let begun = world.tape.open().begun;
+    let started_at = world.recorder.open().started_at;
     Ok(Outcome {
         verdict,
-        odd,
-        begun,
-        asked,
-        fallen,
+        violations,
+        started_at,
+        requests,
+        failed_directors,
         logs: logs.collect(),
     })
 }
--- a/crates/test-harness/src/director.rs
+++ b/crates/test-harness/src/director.rs
@@ -1,7 +1,7 @@
 //! One process of `shalewall direct`: started, signalled, killed, started again.
 
 use crate::journal::Line;
-use crate::tape::Tape;
+use crate::recorder::Recorder;
 use crate::{free_port, now};
 use serde_json::{Value, json};
 use shalewall_audit::{Record, Timestamp};
@@ -16,7 +16,7 @@
 /// A director listens within this of its start, or never.
 const UP: Duration = Duration::from_secs(10);
 
-/// The platform's settings object, with the figures of [`crate::tape::rules`].
+/// The platform's settings object, with the figures of [`crate::recorder::rules`].
 pub fn settings(number: u32, directors: u32) -> Value {
     json!({ "Balancers": directors, "MyNumber": number, "Categories": [
         { "Name": "paid", "Effect": "at_most_once", "Target": 500.0, "GiveUp": 1200.0, "Value": 2.0 },
@@ -39,20 +39,20 @@
     pub port: u16,
     binary: PathBuf,
     dir: PathBuf,
-    tape: Tape,
+    recorder: Recorder,
     child: Option<Child>,
     gone: Option<i64>,
 }
 
 impl Director {
-    pub fn new(binary: &Path, dir: &Path, number: u32, tape: Tape) -> io::Result<Director> {
+    pub fn new(binary: &Path, dir: &Path, number: u32, recorder: Recorder) -> io::Result<Director> {
         let (binary, dir) = (binary.to_path_buf(), dir.to_path_buf());
         Ok(Director {
             number,
             port: free_port()?,
             binary,
             dir,
-            tape,
+            recorder,
             child: None,
             gone: None,
         })
@@ -90,14 +90,14 @@
         }
         let t = now();
         if let Some(from) = self.gone.take() {
-            self.tape
+            self.recorder
                 .open()
                 .down
                 .entry(self.number)
                 .or_default()
                 .push((from, t));
         }
-        self.tape.note(Record::DirectorStarted {
+        self.recorder.note(Record::DirectorStarted {
             time: Timestamp::from_micros(t),
             director: self.number,
         });
@@ -115,7 +115,7 @@
         };
         let t = now();
         self.gone = Some(t);
-        self.tape.note(Record::DirectorKilled {
+        self.recorder.note(Record::DirectorKilled {
             time: Timestamp::from_micros(t),
             director: self.number,
         });
--- a/crates/test-harness/src/lies.rs
+++ b/crates/test-harness/src/faulty_director.rs
@@ -12,45 +12,45 @@
 
 /// What is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lie {
+pub enum DirectorFault {
     /// Every fifth answer is never said.
-    Loses,
+    DropsAnswers,
     /// Every fifth answer is said twice.
-    Twice,
+    DuplicatesAnswers,
     /// Serves with a description that no node made.
-    MakesUp,
+    FabricatesAnswers,
     /// Never says that a session has come to its end.
-    KeepsReleases,
+    DropsReleases,
     /// Sets paid sessions up at two nodes.
-    PaysTwice,
+    DuplicatesPaidSetUps,
     /// Plays paid sessions below their floor.
-    UnderFloor,
+    IgnoresRungFloor,
     /// Goes on sending to a node that drains.
-    IgnoresDrains,
+    IgnoresDraining,
     /// Sends everything to a node that has just started.
-    PushesCold,
+    OverloadsColdNode,
     /// Gives every harmless set-up up once and sends it again.
-    Wastes,
+    WastesAttempts,
     /// Holds requests back, and sends them on whoever has left meanwhile.
-    SendsForLeft,
+    ForwardsCancelledRequests,
     /// Ends as soon as it is told to.
-    EndsAtOnce,
+    ExitsImmediately,
     /// Takes a list service that says nothing for one that has nothing to say.
-    IgnoresSilence,
+    IgnoresSilentJournal,
 }
 
-impl Lie {
+impl DirectorFault {
     /// Told to viewers; the others are told to nodes.
     pub fn to_viewers(self) -> bool {
         matches!(
             self,
-            Lie::Loses
-                | Lie::Twice
-                | Lie::MakesUp
-                | Lie::KeepsReleases
-                | Lie::SendsForLeft
-                | Lie::EndsAtOnce
-                | Lie::IgnoresSilence
+            DirectorFault::DropsAnswers
+                | DirectorFault::DuplicatesAnswers
+                | DirectorFault::FabricatesAnswers
+                | DirectorFault::DropsReleases
+                | DirectorFault::ForwardsCancelledRequests
+                | DirectorFault::ExitsImmediately
+                | DirectorFault::IgnoresSilentJournal
         )
     }
 }
@@ -62,12 +62,12 @@
 pub const NOBODY: usize = usize::MAX;
 
 /// What the relays of one day have in common.
-pub struct Liar {
-    lie: Lie,
+pub struct FaultyDirector {
+    fault: DirectorFault,
     /// The nodes' own ports.
     nodes: Vec<u16>,
     /// The node that everything is to go to.
-    pub favoured: AtomicUsize,
+    pub preferred_node: AtomicUsize,
     count: AtomicU64,
 }
 
@@ -145,22 +145,22 @@
         .collect()
 }
 
-impl Liar {
-    pub fn new(lie: Lie, nodes: Vec<u16>) -> Arc<Liar> {
-        Arc::new(Liar {
-            lie,
+impl FaultyDirector {
+    pub fn new(fault: DirectorFault, nodes: Vec<u16>) -> Arc<FaultyDirector> {
+        Arc::new(FaultyDirector {
+            fault,
             nodes,
-            favoured: AtomicUsize::new(NOBODY),
+            preferred_node: AtomicUsize::new(NOBODY),
             count: AtomicU64::new(0),
         })
     }
 
     pub fn ignores_silence(&self) -> bool {
-        self.lie == Lie::IgnoresSilence
+        self.fault == DirectorFault::IgnoresSilentJournal
     }
 
     /// A relay to the list service that says each second that there is nothing new, whether the service does or not.
-    pub fn before_list(self: &Arc<Liar>, port: u16) -> io::Result<u16> {
+    pub fn before_list(self: &Arc<FaultyDirector>, port: u16) -> io::Result<u16> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let own = listener.local_addr()?.port();
         thread::spawn(move || {
@@ -172,33 +172,33 @@
     }
 
     pub fn ends_at_once(&self) -> bool {
-        self.lie == Lie::EndsAtOnce
+        self.fault == DirectorFault::ExitsImmediately
     }
 
     /// A relay to a port; its own port.
-    pub fn before(self: &Arc<Liar>, port: u16) -> io::Result<u16> {
+    pub fn before(self: &Arc<FaultyDirector>, port: u16) -> io::Result<u16> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let own = listener.local_addr()?.port();
-        let liar = self.clone();
+        let faulty_director = self.clone();
         thread::spawn(move || {
             for near in listener.incoming().flatten() {
-                let liar = liar.clone();
-                thread::spawn(move || liar.relay(near, port));
+                let faulty_director = faulty_director.clone();
+                thread::spawn(move || faulty_director.relay(near, port));
             }
         });
         Ok(own)
     }
 
-    fn relay(self: Arc<Liar>, near: TcpStream, port: u16) -> io::Result<()> {
+    fn relay(self: Arc<FaultyDirector>, near: TcpStream, port: u16) -> io::Result<()> {
         let Ok(far) = TcpStream::connect(("127.0.0.1", port)) else {
             return near.shutdown(Shutdown::Both);
         };
         let (to_near, to_far) = (shared(&near)?, shared(&far)?);
         let back = self.clone();
         let answers = to_near.clone();
-        if self.lie.to_viewers() {
+        if self.fault.to_viewers() {
             thread::spawn(move || carry(far, &answers, |buf| back.lines(buf)));
-            let holds = self.lie == Lie::SendsForLeft;
+            let holds = self.fault == DirectorFault::ForwardsCancelledRequests;
             carry(near, &to_far, |buf| {
                 if holds {
                     held_back(buf)
@@ -236,14 +236,16 @@
             };
             let answers = said["verb"] == "STARTED";
             let fifth = answers && self.count.fetch_add(1, Ordering::Relaxed) % 5 == 4;
-            match self.lie {
-                Lie::Loses if fifth => {}
-                Lie::Twice if fifth => out.extend([&line[..], &line[..]].concat()),
-                Lie::MakesUp if answers => {
+            match self.fault {
+                DirectorFault::DropsAnswers if fifth => {}
+                DirectorFault::DuplicatesAnswers if fifth => {
+                    out.extend([&line[..], &line[..]].concat())
+                }
+                DirectorFault::FabricatesAnswers if answers => {
                     said["blob"] = "s-00000009-made up\r\n".into();
                     out.extend(format!("{said}\n").into_bytes());
                 }
-                Lie::KeepsReleases if said["verb"] == "FINISH" && said["rc"] == 16 => {}
+                DirectorFault::DropsReleases if said["verb"] == "FINISH" && said["rc"] == 16 => {}
                 _ => out.extend(line),
             }
         }
@@ -261,8 +263,8 @@
             return message.write();
         }
         let paid = message.field("p-kind") == Some("paid");
-        match self.lie {
-            Lie::PaysTwice if paid => {
+        match self.fault {
+            DirectorFault::DuplicatesPaidSetUps if paid => {
                 let other = self.nodes
                     [self.count.fetch_add(1, Ordering::Relaxed) as usize % self.nodes.len()];
                 // What that one answers is heard by nobody.
@@ -271,7 +273,7 @@
                 }
                 message.write()
             }
-            Lie::UnderFloor if paid => {
+            DirectorFault::IgnoresRungFloor if paid => {
                 message
                     .fields
                     .iter_mut()
@@ -279,12 +281,12 @@
                     .for_each(|(_, v)| *v = "0".into());
                 message.write()
             }
-            Lie::IgnoresDrains | Lie::PushesCold => {
-                let favoured = self
+            DirectorFault::IgnoresDraining | DirectorFault::OverloadsColdNode => {
+                let preferred_node = self
                     .nodes
-                    .get(self.favoured.load(Ordering::Relaxed))
+                    .get(self.preferred_node.load(Ordering::Relaxed))
                     .copied();
-                let to = favoured.and_then(|port| self.way(port, Some(near), others));
+                let to = preferred_node.and_then(|port| self.way(port, Some(near), others));
                 match to {
                     Some(to) => {
                         let _ = write(&to, &message.write());
@@ -293,7 +295,7 @@
                     None => message.write(),
                 }
             }
-            Lie::Wastes if !paid => {
+            DirectorFault::WastesAttempts if !paid => {
                 let tag = message.field("session").unwrap_or("").to_string();
                 let given_up = format!(
                     "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {tag}\r\nContent-Length: 0\r\n\r\n"
--- a/crates/test-harness/src/journal.rs
+++ b/crates/test-harness/src/journal.rs
@@ -1,6 +1,6 @@
 //! The journal service: numbered changes to the list of media nodes, in frames.
 
-use crate::tape::Tape;
+use crate::recorder::Recorder;
 use crate::{name, now};
 use serde_json::{Value, json};
 use shalewall_audit::{Record, Timestamp};
@@ -64,12 +64,12 @@
 pub struct Journal {
     inner: Arc<Inner>,
     pub port: u16,
-    tape: Tape,
+    recorder: Recorder,
     directors: u32,
 }
 
 impl Journal {
-    pub fn start(tape: Tape, directors: u32) -> io::Result<Journal> {
+    pub fn start(recorder: Recorder, directors: u32) -> io::Result<Journal> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let port = listener.local_addr()?.port();
         let inner = Arc::new(Inner::default());
@@ -86,7 +86,7 @@
         Ok(Journal {
             inner,
             port,
-            tape,
+            recorder,
             directors,
         })
     }
@@ -101,7 +101,7 @@
         let standing = ["ready", "draining", "gone"][usize::from(line.state.min(2))].to_string();
         for director in 0..self.directors {
             let (node, standing) = (line.node.into(), standing.clone());
-            self.tape.note(Record::EndpointNotified {
+            self.recorder.note(Record::EndpointNotified {
                 time: Timestamp::from_micros(t),
                 director,
                 node,
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -7,11 +7,11 @@
 
 pub mod day;
 pub mod director;
+pub mod faulty_director;
 pub mod journal;
-pub mod lies;
 pub mod node;
+pub mod recorder;
 pub mod rtsp;
-pub mod tape;
 pub mod viewer;
 
 use std::net::TcpListener;
--- a/crates/test-harness/src/node.rs
+++ b/crates/test-harness/src/node.rs
@@ -1,7 +1,7 @@
 //! A media node: takes set-ups, lets sessions stand and end, says its releases, and can be made to fail.
 
+use crate::recorder::{End, Recorder};
 use crate::rtsp::{self, Message};
-use crate::tape::{End, Tape};
 use crate::{name, now};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,19 +24,19 @@
 
 /// How a node behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum NodeBehavior {
     #[default]
-    Well,
+    Healthy,
     /// Answers every second set-up with an error.
-    Errors,
+    FailsSetUps,
     /// Turns everything away.
-    Full,
+    RejectsAll,
     /// Hears and says nothing, its connections open.
-    Mute,
+    Unresponsive,
     /// Every third answer can't be read.
-    Garbled,
+    SendsMalformed,
     /// Resets every second connection on which a set-up comes.
-    Resets,
+    ResetsConnections,
 }
 
 struct EndpointState {
@@ -48,7 +48,7 @@
 
 #[derive(Default)]
 struct Inner {
-    mood: Mood,
+    behavior: NodeBehavior,
     /// Set-ups so far, for what happens to every second or third.
     count: u64,
     next: u64,
@@ -66,19 +66,19 @@
 pub struct Node {
     pub id: u32,
     pub port: u16,
-    tape: Tape,
+    recorder: Recorder,
     rng: Mutex<ChaCha8Rng>,
     inner: Mutex<Inner>,
 }
 
 impl Node {
-    pub fn start(id: u32, seed: u64, tape: Tape) -> io::Result<Arc<Node>> {
+    pub fn start(id: u32, seed: u64, recorder: Recorder) -> io::Result<Arc<Node>> {
         let port = crate::free_port()?;
         let rng = Mutex::new(ChaCha8Rng::seed_from_u64(seed ^ u64::from(id)));
         let node = Arc::new(Node {
             id,
             port,
-            tape,
+            recorder,
             rng,
             inner: Mutex::default(),
         });
@@ -90,8 +90,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn mood(&self, mood: Mood) {
-        self.open().mood = mood;
+    pub fn set_behavior(&self, behavior: NodeBehavior) {
+        self.open().behavior = behavior;
     }
 
     fn draw(&self, range: std::ops::Range<i64>) -> i64 {
@@ -105,7 +105,7 @@
         let listener = TcpListener::bind(("127.0.0.1", self.port))?;
         listener.set_nonblocking(true)?;
         let (t, node) = (now(), self.id.into());
-        self.tape.note(Record::NodeStarted {
+        self.recorder.note(Record::NodeStarted {
             time: Timestamp::from_micros(t),
             node,
             places: PLACES,
@@ -134,16 +134,16 @@
             self.done(session, attempt, SetUpOutcome::Abandoned);
         }
         for (session, s) in std::mem::take(&mut inner.standing) {
-            self.tape.note(Record::SessionEnded {
+            self.recorder.note(Record::SessionEnded {
                 time: Timestamp::from_micros(t),
                 node: self.id.into(),
                 session,
                 attempt: s.attempt,
             });
-            self.tape.ended(session, End::Untold);
+            self.recorder.ended(session, End::Untold);
         }
         inner.said.clear();
-        self.tape.note(Record::NodeStopped {
+        self.recorder.note(Record::NodeStopped {
             time: Timestamp::from_micros(t),
             node: self.id.into(),
             overloaded: false,
@@ -151,7 +151,7 @@
     }
 
     fn done(&self, session: u64, attempt: u32, ran: SetUpOutcome) {
-        self.tape.note(Record::SetUpFinished {
+        self.recorder.note(Record::SetUpFinished {
             time: Timestamp::from_micros(now()),
             node: self.id.into(),
             session,
@@ -182,7 +182,7 @@
                         .iter()
                         .map(|(_, tag, cause)| (*tag, *cause))
                         .collect();
-                    let mute = inner.mood == Mood::Mute;
+                    let mute = inner.behavior == NodeBehavior::Unresponsive;
                     again
                         .into_iter()
                         .filter(|_| !mute)
@@ -202,7 +202,7 @@
     fn tick(&self) {
         let t = now();
         let mut inner = self.open();
-        if inner.mood == Mood::Mute {
+        if inner.behavior == NodeBehavior::Unresponsive {
             return;
         }
         let due: Vec<_> = inner
@@ -227,13 +227,13 @@
             let Some(s) = inner.standing.remove(&tag) else {
                 continue;
             };
-            self.tape.note(Record::SessionEnded {
+            self.recorder.note(Record::SessionEnded {
                 time: Timestamp::from_micros(t),
                 node: self.id.into(),
                 session: tag,
                 attempt: s.attempt,
             });
-            self.tape.ended(tag, End::Told);
+            self.recorder.ended(tag, End::Told);
             inner.said.push((t, tag, 16));
             // Whose a connection is shows by what is set up on it only: where that one is gone all hear it.
             let own = inner.conns.contains_key(&s.conn);
@@ -264,16 +264,16 @@
     fn answer(&self, inner: &mut Inner, tag: u64, conn: u64, attempt: u32) {
         inner.count += 1;
         let odd = inner.count;
-        match inner.mood {
-            Mood::Full => {
+        match inner.behavior {
+            NodeBehavior::RejectsAll => {
                 self.done(tag, attempt, SetUpOutcome::Rejected);
                 return say(inner, conn, &rtsp::answer(tag, 453, ""));
             }
-            Mood::Errors if odd.is_multiple_of(2) => {
+            NodeBehavior::FailsSetUps if odd.is_multiple_of(2) => {
                 self.done(tag, attempt, SetUpOutcome::Cancelled);
                 return say(inner, conn, &rtsp::answer(tag, 500, ""));
             }
-            Mood::Garbled if odd.is_multiple_of(3) => {
+            NodeBehavior::SendsMalformed if odd.is_multiple_of(3) => {
                 self.done(tag, attempt, SetUpOutcome::Cancelled);
                 return say(
                     inner,
@@ -284,7 +284,7 @@
             _ => {}
         }
         let made = format!("{}-{tag:016x}-{odd}\r\n", name(self.id));
-        self.tape
+        self.recorder
             .open()
             .made
             .entry(tag)
@@ -341,13 +341,13 @@
                 }
                 if let Some(s) = inner.standing.remove(&tag) {
                     let t = now();
-                    self.tape.note(Record::SessionEnded {
+                    self.recorder.note(Record::SessionEnded {
                         time: Timestamp::from_micros(t),
                         node: self.id.into(),
                         session: tag,
                         attempt: s.attempt,
                     });
-                    self.tape.ended(tag, End::Own);
+                    self.recorder.ended(tag, End::Own);
                 }
             }
             "SET_PARAMETER" => {
@@ -355,7 +355,7 @@
                     .field("x-rung")
                     .and_then(|r| r.parse().ok())
                     .unwrap_or(0);
-                self.tape.note(Record::RungChanged {
+                self.recorder.note(Record::RungChanged {
                     time: Timestamp::from_micros(now()),
                     node: self.id.into(),
                     session: tag,
@@ -370,8 +370,8 @@
     fn set_up(&self, conn: u64, tag: u64, message: &Message) {
         let mut inner = self.open();
         let attempt = {
-            let mut tape = self.tape.open();
-            let count = tape.attempts.entry(tag).or_default();
+            let mut recorder = self.recorder.open();
+            let count = recorder.attempts.entry(tag).or_default();
             *count += 1;
             *count - 1
         };
@@ -391,7 +391,7 @@
         let director = crate::director_of(tag);
         let (t, node) = (now(), self.id.into());
         let session = tag;
-        self.tape.note(Record::SetUpReceived {
+        self.recorder.note(Record::SetUpReceived {
             time: Timestamp::from_micros(t),
             node,
             director,
@@ -402,13 +402,13 @@
             title,
             rung,
         });
-        self.tape.came(tag, t);
+        self.recorder.came(tag, t);
         if message.body != format!("v-{tag:016x}\r\n").into_bytes() {
-            self.tape.odd(format!(
+            self.recorder.report_violation(format!(
                 "set-up of {tag:016x} with another description than its viewer's"
             ));
         }
-        if inner.mood == Mood::Resets && tag.is_multiple_of(2) {
+        if inner.behavior == NodeBehavior::ResetsConnections && tag.is_multiple_of(2) {
             self.done(tag, attempt, SetUpOutcome::Abandoned);
             if let Some(stream) = inner.conns.remove(&conn) {
                 let _ = stream.shutdown(Shutdown::Both);
--- a/crates/test-harness/src/tape.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -45,16 +45,16 @@
     /// Requests that were given up while they waited, and when their directors had been told.
     pub left: BTreeMap<u64, i64>,
     /// When the day began.
-    pub begun: i64,
+    pub started_at: i64,
     /// What can be wrong beside the six rules.
-    pub odd: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// The tape; clones write to the same one.
 #[derive(Clone, Default)]
-pub struct Tape(Arc<Mutex<Inner>>);
+pub struct Recorder(Arc<Mutex<Inner>>);
 
-impl Tape {
+impl Recorder {
     /// A stand-in that panics fails its test by itself; what it taped before is as true as ever.
     pub fn open(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
@@ -64,8 +64,8 @@
         self.open().records.push(record);
     }
 
-    pub fn odd(&self, what: String) {
-        self.open().odd.push(what);
+    pub fn report_violation(&self, violation: String) {
+        self.open().violations.push(violation);
     }
 
     /// A node has a set-up whole.
@@ -77,7 +77,7 @@
             .map(|left| t - left)
             .filter(|late| *late > SENT_ON + TRANSIT);
         if let Some(late) = late {
-            inner.odd.push(format!(
+            inner.violations.push(format!(
                 "{tag:016x} was sent on {} ms after its viewer had left",
                 late / 1000
             ));
@@ -110,7 +110,7 @@
         }
         records.sort_by_key(Record::time);
         let verdict = judge(&records, rules);
-        let mut odd = inner.odd.clone();
+        let mut violations = inner.violations.clone();
         let last = records.last().map_or(0, |record| record.time().as_micros());
         for (tag, (at, end)) in &inner.ends {
             let within = match end {
@@ -128,13 +128,13 @@
                 continue;
             }
             if inner.released.get(tag).is_none_or(|t| *t > at + within) {
-                let at = (at - inner.begun) / 1000;
-                odd.push(format!(
+                let at = (at - inner.started_at) / 1000;
+                violations.push(format!(
                     "session {tag:016x} is over since {at} ms ({end:?}) and not released in time"
                 ));
             }
         }
-        (verdict, odd)
+        (verdict, violations)
     }
 }
 
@@ -179,7 +179,7 @@
 }
 
 /// The rules that a verdict found broken.
-pub fn broken(verdict: &Verdict) -> Vec<Rule> {
+pub fn broken_rules(verdict: &Verdict) -> Vec<Rule> {
     let mut rules: Vec<Rule> = verdict.findings.iter().map(|f| f.rule).collect();
     rules.sort_unstable();
     rules.dedup();
--- a/crates/test-harness/src/viewer.rs
+++ b/crates/test-harness/src/viewer.rs
@@ -1,6 +1,6 @@
 //! The viewers of one director: they ask, hear answers and releases, and hand over what they have after a restart.
 
-use crate::tape::{End, Tape};
+use crate::recorder::{End, Recorder};
 use crate::{name, now};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -33,7 +33,7 @@
     stop: Arc<AtomicBool>,
     /// No new requests meanwhile: the front has taken the director out.
     pub paused: Arc<AtomicBool>,
-    pub asked: Arc<AtomicU64>,
+    pub request_count: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -69,17 +69,17 @@
 }
 
 impl Viewers {
-    pub fn start(director: u32, port: u16, seed: u64, tape: Tape) -> Viewers {
+    pub fn start(director: u32, port: u16, seed: u64, recorder: Recorder) -> Viewers {
         let inner = Arc::new(Mutex::new(Inner::default()));
         let (stop, paused) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicBool::new(false)),
         );
-        let asked = Arc::new(AtomicU64::new(0));
-        let own = (inner, stop.clone(), paused.clone(), asked.clone());
+        let request_count = Arc::new(AtomicU64::new(0));
+        let own = (inner, stop.clone(), paused.clone(), request_count.clone());
         let thread = thread::spawn(move || {
             let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (u64::from(director) << 32));
-            let (inner, stop, paused, asked) = own;
+            let (inner, stop, paused, request_count) = own;
             while !stop.load(Ordering::Relaxed) {
                 let Ok(stream) = TcpStream::connect(("127.0.0.1", port)) else {
                     thread::sleep(Duration::from_millis(50));
@@ -90,19 +90,19 @@
                     return;
                 };
                 let alive = Arc::new(AtomicBool::new(true));
-                let (heard, up, seen) = (inner.clone(), alive.clone(), tape.clone());
+                let (heard, up, seen) = (inner.clone(), alive.clone(), recorder.clone());
                 let listens = thread::spawn(move || listen(reader, &heard, &seen, &up));
                 converse(
                     director,
                     stream,
                     &inner,
-                    &tape,
+                    &recorder,
                     &mut rng,
-                    (&stop, &paused, &alive, &asked),
+                    (&stop, &paused, &alive, &request_count),
                 );
                 let _ = listens.join();
                 for (ask, _) in std::mem::take(&mut open(&inner).open) {
-                    tape.note(Record::RequestUnanswered {
+                    recorder.note(Record::RequestUnanswered {
                         time: Timestamp::from_micros(now()),
                         request: ask,
                     });
@@ -112,7 +112,7 @@
         Viewers {
             stop,
             paused,
-            asked,
+            request_count,
             thread: Some(thread),
         }
     }
@@ -128,9 +128,9 @@
     director: u32,
     mut stream: TcpStream,
     inner: &Mutex<Inner>,
-    tape: &Tape,
+    recorder: &Recorder,
     rng: &mut ChaCha8Rng,
-    (stop, paused, alive, asked): (&AtomicBool, &AtomicBool, &AtomicBool, &AtomicU64),
+    (stop, paused, alive, request_count): (&AtomicBool, &AtomicBool, &AtomicBool, &AtomicU64),
 ) {
     let stood = open(inner).standing.clone();
     for (tag, node) in stood {
@@ -142,7 +142,7 @@
         if paused.load(Ordering::Relaxed) || !alive.load(Ordering::Relaxed) {
             continue;
         }
-        let tag = (u64::from(director) << 48) | (asked.fetch_add(1, Ordering::Relaxed) + 1);
+        let tag = (u64::from(director) << 48) | (request_count.fetch_add(1, Ordering::Relaxed) + 1);
         let (class, title) = asks_for(tag);
         let (t, wait) = (now(), LEFT * 1000);
         open(inner).open.insert(tag, t);
@@ -154,7 +154,7 @@
             break;
         }
         let (class, title, key) = (class.to_string(), title.to_string(), format!("{tag:016x}"));
-        tape.note(Record::RequestSent {
+        recorder.note(Record::RequestSent {
             time: Timestamp::from_micros(t),
             director,
             request: tag,
@@ -171,11 +171,11 @@
                 let given_up =
                     json!({ "verb": "FINISH", "tag": format!("{tag:016x}"), "opts": {}, "rc": 16 });
                 let said = stream.write_all(format!("{given_up}\n").as_bytes());
-                tape.note(Record::RequestCancelled {
+                recorder.note(Record::RequestCancelled {
                     time: Timestamp::from_micros(now()),
                     request: tag,
                 });
-                tape.open().left.insert(tag, now());
+                recorder.open().left.insert(tag, now());
                 if said.is_err() {
                     break;
                 }
@@ -189,55 +189,57 @@
             None
         };
         if let Some((tag, _)) = left {
-            tape.ended(tag, End::Own);
+            recorder.ended(tag, End::Own);
             let _ = stream.write_all(line("FINISH", tag, json!({}), None).as_bytes());
         }
     }
     let _ = stream.shutdown(std::net::Shutdown::Write);
 }
 
-fn listen(stream: TcpStream, inner: &Mutex<Inner>, tape: &Tape, alive: &AtomicBool) {
+fn listen(stream: TcpStream, inner: &Mutex<Inner>, recorder: &Recorder, alive: &AtomicBool) {
     for said in BufReader::new(stream).lines() {
         let Ok(said) = said else { break };
         let Ok(message) = serde_json::from_str::<Value>(&said) else {
-            tape.odd(format!("a viewer was told what can't be read: {said}"));
+            recorder.report_violation(format!("a viewer was told what can't be read: {said}"));
             break;
         };
         let tag = message["tag"]
             .as_str()
             .and_then(|t| u64::from_str_radix(t, 16).ok())
             .unwrap_or(0);
-        heard(tag, &message, inner, tape);
+        heard(tag, &message, inner, recorder);
     }
     alive.store(false, Ordering::Relaxed);
 }
 
-fn heard(tag: u64, message: &Value, inner: &Mutex<Inner>, tape: &Tape) {
+fn heard(tag: u64, message: &Value, inner: &Mutex<Inner>, recorder: &Recorder) {
     let t = now();
     let mut inner = open(inner);
     let waits = inner.open.remove(&tag).is_some();
     match message["verb"].as_str().unwrap_or("") {
         // It crossed the word that its viewer waits no more: the session ends by that.
-        "STARTED" if !waits && tape.open().left.contains_key(&tag) => tape.ended(tag, End::Own),
+        "STARTED" if !waits && recorder.open().left.contains_key(&tag) => {
+            recorder.ended(tag, End::Own)
+        }
         "STARTED" => {
-            tape.note(Record::RequestAnswered {
+            recorder.note(Record::RequestAnswered {
                 time: Timestamp::from_micros(t),
                 request: tag,
                 status: 200,
                 session: Some(tag),
             });
             let blob = message["blob"].as_str().unwrap_or("");
-            let made = tape
+            let made = recorder
                 .open()
                 .made
                 .get(&tag)
                 .is_some_and(|made| made.iter().any(|m| m == blob));
             if !made {
-                tape.odd(format!(
+                recorder.report_violation(format!(
                     "{tag:016x} was served with what no node made for it: {blob:?}"
                 ));
             }
-            tape.open().stood.entry(tag).or_insert(t);
+            recorder.open().stood.entry(tag).or_insert(t);
             // The node's name begins the description.
             inner
                 .standing
@@ -249,7 +251,7 @@
             } else {
                 502
             };
-            tape.note(Record::RequestAnswered {
+            recorder.note(Record::RequestAnswered {
                 time: Timestamp::from_micros(t),
                 request: tag,
                 status,
@@ -258,7 +260,7 @@
         }
         "FINISH" => {
             inner.standing.remove(&tag);
-            tape.open().released.entry(tag).or_insert(t);
+            recorder.open().released.entry(tag).or_insert(t);
         }
         _ => {}
     }
