--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -65,15 +65,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Coverage {
     /// How near it came to its limit: 1 is at it.
-    pub nearest: f64,
+    pub max_limit_fraction: f64,
     /// How many things it was tested on.
-    pub tests: u64,
+    pub checks: u64,
 }
 
 impl Coverage {
     fn record(&mut self, utilization: f64) {
-        self.nearest = self.nearest.max(utilization);
-        self.tests += 1;
+        self.max_limit_fraction = self.max_limit_fraction.max(utilization);
+        self.checks += 1;
     }
 }
 
@@ -131,9 +131,9 @@
 
     fn rule_line(&self, rule: Rule) -> String {
         let coverage = self.coverage.get(&rule);
-        let tests = coverage.map_or(0, |coverage| coverage.tests);
+        let tests = coverage.map_or(0, |coverage| coverage.checks);
         let nearest = coverage.map_or("-".to_string(), |coverage| {
-            format!("{:.0}%", coverage.nearest * 100.0)
+            format!("{:.0}%", coverage.max_limit_fraction * 100.0)
         });
         let state = match (self.breaches(rule), tests) {
             (0, 0) => "not tested".to_string(),
@@ -148,7 +148,7 @@
         let name = rule.name();
         match (self.tenant_breaches(rule, tenant), coverage) {
             (0, None) => format!("{name} not tested"),
-            (0, Some(coverage)) => format!("{name} kept ({})", coverage.tests),
+            (0, Some(coverage)) => format!("{name} kept ({})", coverage.checks),
             (breaches, _) => format!("{name} BROKEN {breaches} times"),
         }
     }
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -403,7 +403,7 @@
         said.contains("tenant own: ") && said.contains("floors and seats kept BROKEN 1 times"),
         "{said}"
     );
-    assert_eq!(verdict.tenants["other"][&Rule::NoDuplicateSetUp].tests, 1);
+    assert_eq!(verdict.tenants["other"][&Rule::NoDuplicateSetUp].checks, 1);
     let again = vec![
         tenant_set_up(0, 4, 0, "open", Some("own")),
         set_up_finished(1, 4, 0, SetUpOutcome::Abandoned),
--- a/crates/cli/src/commands/days.rs
+++ b/crates/cli/src/commands/days.rs
@@ -21,8 +21,8 @@
     let summary = scripted_days::run(&plan, &program, out, print_progress)?;
     println!("{summary}");
     println!("recordings, logs and summary: {}", out.display());
-    if !summary.not_valid.is_empty() {
-        return Err(CliError::InvalidDay(summary.not_valid));
+    if !summary.invalid_reasons.is_empty() {
+        return Err(CliError::InvalidDay(summary.invalid_reasons));
     }
     Ok(outcome(summary.rules_hold))
 }
@@ -56,7 +56,7 @@
     }
     start_logs();
     let executor = Rc::new(LocalExecutor::new());
-    let emulation = Emulation::start(&executor, &plan, Recorder::nowhere(), None);
+    let emulation = Emulation::start(&executor, &plan, Recorder::disabled(), None);
     let emulation = emulation.map_err(DayError::from)?;
     tracing::info!(address = %emulation.list_address, what = "list", "listening");
     for node in emulation.nodes.running() {
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -19,10 +19,10 @@
         ("no set-up twice", 100),
         ("drains kept", 100),
     ] {
-        assert!(summary.tested[rule] >= least, "{rule}: {summary}");
+        assert!(summary.checks[rule] >= least, "{rule}: {summary}");
     }
     assert!(
-        summary.tested["floors and seats kept"] > 0 && summary.all.plays > 80,
+        summary.checks["floors and seats kept"] > 0 && summary.all.played > 80,
         "{summary}"
     );
     // The recordings say the same when they are judged again.
@@ -36,7 +36,7 @@
             Rule::FloorsAndSeats,
         ] {
             let name = rule.name();
-            assert!(tested[&rule].tests > 10, "{tenant}: {name}: {summary}");
+            assert!(tested[&rule].checks > 10, "{tenant}: {name}: {summary}");
         }
     }
     summary
@@ -55,11 +55,11 @@
     let summary = holds("short-hosted-day.hcl");
     let (quiet, loud) = (&summary.tenants["quiet"], &summary.tenants["loud"]);
     assert!(
-        loud.people_refused > 0.5 && loud.asked > 1000,
+        loud.viewers_rejected_fraction > 0.5 && loud.requested > 1000,
         "the loud one has to be loud: {summary}"
     );
     assert!(
-        quiet.people_unserved < 0.15 && quiet.worth > 2.0 * loud.worth,
+        quiet.viewers_unserved_fraction < 0.15 && quiet.worth > 2.0 * loud.worth,
         "{summary}"
     );
 }
@@ -74,12 +74,12 @@
 #[test]
 fn sessions_are_handed_over_on_the_short_day_of_moves() {
     let summary = holds("short-moves.hcl");
-    let moves = summary.moves.as_ref().expect("players follow");
-    assert!(moves.completed >= 20, "{summary}");
-    assert_eq!(moves.served_twice, 0, "{summary}");
+    let migrations = summary.migrations.as_ref().expect("players follow");
+    assert!(migrations.completed >= 20, "{summary}");
+    assert_eq!(migrations.served_twice, 0, "{summary}");
     // Gaps on a machine that keeps players waiting say nothing of the front.
     assert!(
-        moves.gap_quantile(0.9).as_micros() <= 200_000 || summary.lag_ms > 100.0,
+        migrations.gap_quantile(0.9).as_micros() <= 200_000 || summary.lag_ms > 100.0,
         "{summary}"
     );
 }
--- a/crates/scripted-days/src/summary.rs
+++ b/crates/scripted-days/src/summary.rs
@@ -22,18 +22,22 @@
     /// 99 of 100 came within this.
     pub p99: f64,
     /// The slowest one.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 /// What viewers got: all of them, or one tenant's.
 #[derive(Clone, Debug, Serialize)]
 pub struct ViewerFigures {
     /// Requests.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requested: u64,
     /// Answered with a session.
-    pub plays: u64,
+    #[serde(rename = "plays")]
+    pub played: u64,
     /// Rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Failed.
     pub failed: u64,
     /// Without an answer.
@@ -41,13 +45,17 @@
     /// Sessions that broke off.
     pub broken: u64,
     /// Viewers that came.
-    pub people: u64,
+    #[serde(rename = "people")]
+    pub viewers: u64,
     /// Part of them that was rejected at least once.
-    pub people_refused: f64,
+    #[serde(rename = "people_refused")]
+    pub viewers_rejected_fraction: f64,
     /// Part of them that never got to watch.
-    pub people_unserved: f64,
+    #[serde(rename = "people_unserved")]
+    pub viewers_unserved_fraction: f64,
     /// Changes of rung for each minute that a session played.
-    pub steps: f64,
+    #[serde(rename = "steps")]
+    pub rung_changes_per_minute: f64,
     /// Worth got over worth asked for, both within the day, less what stalls and steps cost, as viewers'
     /// sockets saw it.
     pub worth: f64,
@@ -59,16 +67,16 @@
     fn new(t: &ViewerTotals) -> ViewerFigures {
         let time = t.played_s().max(1e-9);
         ViewerFigures {
-            asked: t.requested,
-            plays: t.played,
-            refused: t.rejected,
+            requested: t.requested,
+            played: t.played,
+            rejected: t.rejected,
             failed: t.failed,
             unanswered: t.unanswered,
             broken: t.broken,
-            people: t.viewers,
-            people_refused: t.viewers_rejected_fraction(),
-            people_unserved: t.unserved_fraction(),
-            steps: t.rung_changes_per_minute(),
+            viewers: t.viewers,
+            viewers_rejected_fraction: t.viewers_rejected_fraction(),
+            viewers_unserved_fraction: t.unserved_fraction(),
+            rung_changes_per_minute: t.rung_changes_per_minute(),
             worth: t.worth(),
             rungs: t
                 .seconds_by_rung
@@ -90,17 +98,21 @@
     /// Waits by class.
     pub waits: BTreeMap<String, WaitTimes>,
     /// Hand-overs and gaps, where players follow.
-    pub moves: Option<MigrationReport>,
+    #[serde(rename = "moves")]
+    pub migrations: Option<MigrationReport>,
     /// The latest that a timer of the emulators fired, milliseconds.
     pub lag_ms: f64,
     /// What the machine shortfall: figures of such a day are not of the program.
-    pub not_valid: Vec<String>,
+    #[serde(rename = "not_valid")]
+    pub invalid_reasons: Vec<String>,
     /// Whether no rule was broken.
     pub rules_hold: bool,
     /// How near each rule came to its limit; 1 is at it.
-    pub nearest: BTreeMap<String, f64>,
+    #[serde(rename = "nearest")]
+    pub max_limit_fractions: BTreeMap<String, f64>,
     /// On how many things each rule was tested.
-    pub tested: BTreeMap<String, u64>,
+    #[serde(rename = "tested")]
+    pub checks: BTreeMap<String, u64>,
     /// Each breach of a rule.
     pub findings: Vec<String>,
     #[serde(skip)]
@@ -112,7 +124,7 @@
     pub fn new(
         count: &Count,
         verdict: &Verdict,
-        moves: Option<MigrationReport>,
+        migrations: Option<MigrationReport>,
         shortfall: &Shortfall,
     ) -> Summary {
         let tenants = count.tallies.tenants.iter();
@@ -127,16 +139,16 @@
             waits: waits
                 .map(|(class, waits)| (class.clone(), WaitTimes::new(waits)))
                 .collect(),
-            moves,
+            migrations,
             lag_ms: shortfall.timer_delay.as_secs_f64() * 1000.0,
-            not_valid: shortfall.reasons(),
+            invalid_reasons: shortfall.reasons(),
             rules_hold: verdict.holds(),
-            nearest: coverage
+            max_limit_fractions: coverage
                 .clone()
-                .map(|(rule, coverage)| (rule.name().to_string(), coverage.nearest))
+                .map(|(rule, coverage)| (rule.name().to_string(), coverage.max_limit_fraction))
                 .collect(),
-            tested: coverage
-                .map(|(rule, coverage)| (rule.name().to_string(), coverage.tests))
+            checks: coverage
+                .map(|(rule, coverage)| (rule.name().to_string(), coverage.checks))
                 .collect(),
             findings: findings
                 .map(|finding| format!("{}: {}", finding.rule.name(), finding.evidence))
@@ -159,7 +171,7 @@
             answers: histogram.len(),
             p50: millis_at(0.5),
             p99: millis_at(0.99),
-            most: millis_at(1.0),
+            max: millis_at(1.0),
         }
     }
 }
@@ -169,21 +181,25 @@
         writeln!(
             f,
             "{} asked: {} played, {} refused, {} failed, {} without an answer; {} broke off",
-            self.asked, self.plays, self.refused, self.failed, self.unanswered, self.broken
+            self.requested, self.played, self.rejected, self.failed, self.unanswered, self.broken
         )?;
         writeln!(
             f,
             "{} viewers: {:.1}% turned away at least once, {:.1}% never got to watch",
-            self.people,
-            self.people_refused * 100.0,
-            self.people_unserved * 100.0
+            self.viewers,
+            self.viewers_rejected_fraction * 100.0,
+            self.viewers_unserved_fraction * 100.0
         )?;
         writeln!(
             f,
             "worth {:.3} of what was asked for within the day (stand-in nodes)",
             self.worth
         )?;
-        writeln!(f, "changes of rung {:.2} a session-minute", self.steps)?;
+        writeln!(
+            f,
+            "changes of rung {:.2} a session-minute",
+            self.rung_changes_per_minute
+        )?;
         let rungs: Vec<_> = self
             .rungs
             .iter()
@@ -204,22 +220,22 @@
                 answers,
                 p50,
                 p99,
-                most,
+                max,
             } = w;
             writeln!(
                 f,
-                "answers {class:<10} {answers:>6}  p50 {p50:.0} ms  p99 {p99:.0} ms  most {most:.0} ms"
+                "answers {class:<10} {answers:>6}  p50 {p50:.0} ms  p99 {p99:.0} ms  most {max:.0} ms"
             )?;
         }
-        if let Some(moves) = &self.moves {
-            write!(f, "{moves}")?;
+        if let Some(migrations) = &self.migrations {
+            write!(f, "{migrations}")?;
         }
         writeln!(
             f,
             "timers of the stand-ins rang up to {:.0} ms late",
             self.lag_ms
         )?;
-        for why in &self.not_valid {
+        for why in &self.invalid_reasons {
             writeln!(f, "NOT VALID: {why}")?;
         }
         write!(f, "{}", self.verdict)
