--- a/crates/emulator/src/recorder.rs
+++ b/crates/emulator/src/recorder.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 enum To {
-    Nowhere,
+    Disabled,
     File(Writer),
     Memory(Vec<Record>),
 }
@@ -23,8 +23,8 @@
     }
 
     /// Keeps nothing, for stand-ins that run without an end.
-    pub fn nowhere() -> Recorder {
-        Recorder(Rc::new(RefCell::new(To::Nowhere)))
+    pub fn disabled() -> Recorder {
+        Recorder(Rc::new(RefCell::new(To::Disabled)))
     }
 
     pub fn memory() -> Recorder {
@@ -36,21 +36,21 @@
             // A recording with a hole proves nothing, so a write that fails ends the run.
             To::File(writer) => writer.write(&record).expect("the recording can be written"),
             To::Memory(records) => records.push(record),
-            To::Nowhere => {}
+            To::Disabled => {}
         }
     }
 
     pub fn flush(&self) -> std::io::Result<()> {
         match &mut *self.0.borrow_mut() {
             To::File(writer) => writer.flush(),
-            To::Memory(_) | To::Nowhere => Ok(()),
+            To::Memory(_) | To::Disabled => Ok(()),
         }
     }
 
     /// What was recorded in memory, in order of time.
     pub fn records(&self) -> Vec<Record> {
         match &*self.0.borrow() {
-            To::File(_) | To::Nowhere => Vec::new(),
+            To::File(_) | To::Disabled => Vec::new(),
             To::Memory(records) => {
                 let mut records = records.clone();
                 records.sort_by_key(Record::time);
