--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -161,7 +161,7 @@
         }
         let reply = Reply::problem_with(error.status(), &error.to_string(), members);
         match error.header() {
-            Some((name, value)) => reply.with(name, value),
+            Some((name, value)) => reply.with_field(name, value),
             None => reply,
         }
     }
--- a/crates/admin/src/openapi.rs
+++ b/crates/admin/src/openapi.rs
@@ -2,7 +2,7 @@
 
 use crate::routes::{COMMON_STATUSES, Operation, ROUTES, Route, ServiceOperation, TenantOperation};
 use serde_json::{Map, Value, json};
-use shalewall_http::head::reason;
+use shalewall_http::head::reason_phrase;
 use shalewall_tenancy::schema::terms_schema;
 
 /// The document as it is published.
@@ -42,7 +42,7 @@
 fn responses(route: &Route) -> Value {
     let mut responses = Map::new();
     for status in route.statuses.iter().chain(&COMMON_STATUSES) {
-        let mut response = json!({ "description": reason(*status) });
+        let mut response = json!({ "description": reason_phrase(*status) });
         match status {
             204 => {}
             200..=299 => response["content"] = content("application/json", json!({})),
--- a/crates/admin/src/service_operations.rs
+++ b/crates/admin/src/service_operations.rs
@@ -98,7 +98,7 @@
             Some(_) => 201,
             None => 200,
         };
-        Ok(tenant_reply(status, &outcome.tenant).with("Location", format!("/tenants/{id}")))
+        Ok(tenant_reply(status, &outcome.tenant).with_field("Location", format!("/tenants/{id}")))
     }
 
     fn read_changes(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
--- a/crates/admin/src/tenant_operations.rs
+++ b/crates/admin/src/tenant_operations.rs
@@ -15,7 +15,7 @@
 
 /// A tenant, with the entity tag that the next change has to name.
 pub(crate) fn tenant_reply(status: u16, tenant: &Tenant) -> Reply {
-    Reply::json(status, json!(tenant).to_string()).with("ETag", entity_tag(tenant.revision))
+    Reply::json(status, json!(tenant).to_string()).with_field("ETag", entity_tag(tenant.revision))
 }
 
 impl Api {
@@ -86,7 +86,7 @@
         if directors.iter().all(|director| director.sessions.is_some()) {
             return Ok(reply);
         }
-        Ok(reply.with("Retry-After", SESSIONS_RETRY_AFTER_S))
+        Ok(reply.with_field("Retry-After", SESSIONS_RETRY_AFTER_S))
     }
 
     fn change(&self, id: &TenantId, change: Change, call: &Call<'_>) -> Result<Reply, ApiError> {
--- a/crates/admin/tests/support/mod.rs
+++ b/crates/admin/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use shalewall_admin::api::{Api, TokenSeed};
 use shalewall_admin::routes::{Operation, ROUTES, ServiceOperation, TenantOperation};
 use shalewall_http::Limits;
-use shalewall_http::head::Finder;
+use shalewall_http::head::HeadParser;
 use shalewall_http::server::{Content, Reply, Request};
 use shalewall_store::Store;
 use shalewall_tenancy::access::Role;
@@ -104,8 +104,8 @@
             "{method} {target} HTTP/1.1\r\nHost: x\r\n{bearer}{fields}Content-Length: {}\r\n\r\n",
             body.len()
         );
-        let head = Finder::default()
-            .request(head.as_bytes(), &Limits::default())
+        let head = HeadParser::default()
+            .parse_request(head.as_bytes(), &Limits::default())
             .unwrap()
             .unwrap()
             .0;
@@ -124,7 +124,7 @@
             fields,
             content,
         } = self.api.answer(&request, self.now, seed);
-        let Content::Whole(bytes) = content else {
+        let Content::Complete(bytes) = content else {
             panic!("a whole answer")
         };
         let text = String::from_utf8(bytes).unwrap();
--- a/crates/cli/src/commands/tenant.rs
+++ b/crates/cli/src/commands/tenant.rs
@@ -4,7 +4,7 @@
 use crate::error::CliError;
 use serde_json::{Value, json};
 use shalewall_http::Limits;
-use shalewall_http::client::{Call, Response, in_time};
+use shalewall_http::client::{Call, Response, with_timeout};
 use shalewall_http::pool::Pool;
 use std::io::{Read, stdin};
 use std::time::Duration;
@@ -118,7 +118,7 @@
             content: content.map(|content| (content.media_type, content.text.as_bytes())),
             ..Call::new(self.method, &self.target, &host).fields(&fields)
         };
-        let answer = async_io::block_on(in_time(CALL_TIMEOUT, pool.call(&call)));
+        let answer = async_io::block_on(with_timeout(CALL_TIMEOUT, pool.call(&call)));
         answer.ok_or(CliError::NoAnswer)?.map_err(CliError::Call)
     }
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,6 +1,6 @@
 //! Why a command failed, as its user is told.
 
-use shalewall_http::client::Failure;
+use shalewall_http::client::CallError;
 use shalewall_platform::RunError;
 use shalewall_scripted_days::{DayError, ImportError};
 use shalewall_server::StartError;
@@ -36,7 +36,7 @@
     NoAnswer,
     /// A call to the administration API failed.
     #[error("{0}")]
-    Call(Failure),
+    Call(CallError),
     /// The administration API did not do it.
     #[error("status {status}: {body}")]
     Status { status: u16, body: String },
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -155,8 +155,8 @@
             Some((out, (list, receiver)))
         });
         Reply::new(200)
-            .with("Content-Type", "text/event-stream")
-            .pieces(stream::once(first).chain(rest))
+            .with_field("Content-Type", "text/event-stream")
+            .stream(stream::once(first).chain(rest))
     }
 
     async fn reachable(&self) {
@@ -181,7 +181,7 @@
             Some(Some(news))
         };
         let news = future::or(news, beat).await?;
-        Some(news.map_or(sse::BEAT.to_vec(), |news| self.bytes(director, &news)))
+        Some(news.map_or(sse::KEEP_ALIVE.to_vec(), |news| self.bytes(director, &news)))
     }
 
     /// The event, and the record that this director is told of it now.
@@ -198,7 +198,7 @@
             });
         }
         let mut out = Vec::new();
-        sse::write(
+        sse::write_event(
             &mut out,
             kind,
             &serde_json::to_string(lines).unwrap_or_default(),
--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -17,7 +17,7 @@
     ActiveSession, AttemptId, Fleet, Machine, ProcessState, SetupDecision,
 };
 use shalewall_fleet_model::notifications::Notifier;
-use shalewall_http::server::{Ended, Reply, Request, serve};
+use shalewall_http::server::{ConnectionEnd, Reply, Request, serve};
 use shalewall_http::{Limits, sse};
 use shalewall_migration::Epoch;
 use shalewall_migration::node::NodeSessions;
@@ -406,7 +406,7 @@
                 // A process that dies resets its connections.
                 let _ = set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
             }
-            Some(Ended::Cut(bytes)) => {
+            Some(ConnectionEnd::Truncated(bytes)) => {
                 let text = String::from_utf8_lossy(&bytes);
                 let run = text.split(' ').nth(1).and_then(run_of);
                 let (time, bytes) = (shalewall_clock::now(), bytes.len());
@@ -445,7 +445,7 @@
     /// An answer with the load figures that every answer carries.
     fn with_load(&self, id: u64, reply: Reply) -> Reply {
         let f = self.inner.borrow().fleet.reported_load(id);
-        reply.with(
+        reply.with_field(
             "Shalewall-Load",
             format!(
                 "streams={}, link={:.4}, uplink={:.4}",
@@ -533,7 +533,7 @@
             counted: false,
         };
         let never_ran =
-            |status, what| Reply::problem(status, what).with("Shalewall-Never-Ran", "yes");
+            |status, what| Reply::problem(status, what).with_field("Shalewall-Never-Ran", "yes");
         let arrival =
             self.inner
                 .borrow_mut()
@@ -669,7 +669,7 @@
             .filter_map(|run| self.held_as_told(id, run))
             .collect();
         let mut first = Vec::new();
-        sse::write(&mut first, "held", &serde_json::json!(held).to_string());
+        sse::write_event(&mut first, "held", &serde_json::json!(held).to_string());
         let lease = Lease {
             nodes: self.clone(),
             id,
@@ -681,20 +681,20 @@
             let beat = async {
                 Timer::after(BEAT).await;
                 lease.nodes.awake(lease.id).await;
-                Some(sse::BEAT.to_vec())
+                Some(sse::KEEP_ALIVE.to_vec())
             };
             let next = async {
                 let (kind, data) = lease.receiver.recv().await.ok()?;
                 lease.nodes.awake(lease.id).await;
                 let mut out = Vec::new();
-                sse::write(&mut out, kind, &data);
+                sse::write_event(&mut out, kind, &data);
                 Some(out)
             };
             future::or(next, beat).await.map(|out| (out, lease))
         });
         Reply::new(200)
-            .with("Content-Type", "text/event-stream")
-            .pieces(stream::once(first).chain(rest))
+            .with_field("Content-Type", "text/event-stream")
+            .stream(stream::once(first).chain(rest))
     }
 
     /// Without an event stream for the lease, a front's sessions end: it is gone.
--- a/crates/emulator/src/nodes/media.rs
+++ b/crates/emulator/src/nodes/media.rs
@@ -86,9 +86,9 @@
             id,
             run,
         };
-        let reply = Reply::new(200).with("Content-Type", "application/octet-stream");
+        let reply = Reply::new(200).with_field("Content-Type", "application/octet-stream");
         match wanted.place {
-            None => reply.pieces(stream::unfold(viewer, |viewer| async {
+            None => reply.stream(stream::unfold(viewer, |viewer| async {
                 Timer::after(FRAME).await;
                 viewer.nodes.awake(viewer.id).await;
                 viewer.frame().map(|frame| (frame, viewer))
@@ -103,7 +103,7 @@
                     live,
                     at: from,
                 };
-                reply.pieces(stream::unfold(paced, |mut paced| async {
+                reply.stream(stream::unfold(paced, |mut paced| async {
                     loop {
                         Timer::after(FRAME).await;
                         paced.viewer.nodes.awake(paced.viewer.id).await;
--- a/crates/emulator/src/player.rs
+++ b/crates/emulator/src/player.rs
@@ -9,7 +9,7 @@
 use shalewall_audit::{Record, RungTime};
 use shalewall_fleet_model::playhead::Playhead;
 use shalewall_http::Limits;
-use shalewall_http::client::{Call, Events, in_time};
+use shalewall_http::client::{Call, EventStream, with_timeout};
 use shalewall_http::pool::Pool;
 use shalewall_migration::Epoch;
 use shalewall_migration::player::{PendingFetch, PlayerAction, PlayerMigration};
@@ -113,7 +113,7 @@
             let call = Call::new("POST", &target, &host)
                 .fields(tenant.as_slice())
                 .json(body.as_bytes());
-            let _ = in_time(Duration::from_secs(2), pool.call(&call)).await;
+            let _ = with_timeout(Duration::from_secs(2), pool.call(&call)).await;
         };
         self.viewers.ex.spawn(task).detach();
     }
@@ -234,12 +234,14 @@
             );
             let call = Call::new("GET", &target, &host).fields(tenant.as_slice());
             let opening = async { pool.connect().await.ok()?.stream(&call).await.ok() };
-            let opened = in_time(Duration::from_secs(2), opening).await.flatten();
+            let opened = with_timeout(Duration::from_secs(2), opening)
+                .await
+                .flatten();
             if let Some((head, incoming)) = opened {
                 if head.status != 200 {
                     return; // nothing is handed over here
                 }
-                let mut events = Events::new(incoming, 64 * 1024);
+                let mut events = EventStream::new(incoming, 64 * 1024);
                 while let Some(batch) = events.next(Duration::from_secs(3)).await {
                     for event in batch {
                         let data: serde_json::Value =
@@ -334,7 +336,7 @@
     let whole = loop {
         let now = shalewall_clock::now().as_micros();
         let due = player.due(now).min(until);
-        let heard = in_time(
+        let heard = with_timeout(
             Duration::from_micros((due - now).max(0) as u64),
             news.recv(),
         )
--- a/crates/emulator/src/viewers.rs
+++ b/crates/emulator/src/viewers.rs
@@ -10,7 +10,7 @@
 use shalewall_fleet_model::population::{Class, Interest, ViewerPopulation};
 use shalewall_fleet_model::totals::{TotalsByTenant, ViewerTotals};
 use shalewall_http::Limits;
-use shalewall_http::client::{Call, Failure, Incoming, Unconnected, in_time};
+use shalewall_http::client::{BodyStream, Call, CallError, ConnectErrorKind, with_timeout};
 use shalewall_http::pool::Pool;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -285,7 +285,10 @@
         let mut connection = match pool.connect().await {
             Ok(connection) => connection,
             Err(e) => {
-                let own = matches!(e, Failure::NotConnected(Unconnected::Own, _));
+                let own = matches!(
+                    e,
+                    CallError::NotConnected(ConnectErrorKind::LocalShortage, _)
+                );
                 self.lacked.set(self.lacked.get() + u64::from(own));
                 self.enter(viewer, |t| t.unanswered += 1);
                 return Try::Again(self.crowd.retry_pause);
@@ -312,18 +315,18 @@
         self.enter(viewer, |t| t.requested += 1);
         // A viewer waits somewhat longer than it said: an answer that is late is to be seen.
         let patience = viewer.class.request_timeout + Duration::from_secs(3);
-        let answer = in_time(patience, connection.call(&call)).await;
+        let answer = with_timeout(patience, connection.call(&call)).await;
         let now = shalewall_clock::now().as_micros();
         let answer = match answer {
             Some(Ok(answer)) => answer,
-            Some(Err(Failure::NotConnected(..) | Failure::NeverRan(_))) => {
+            Some(Err(CallError::NotConnected(..) | CallError::NotExecuted(_))) => {
                 self.recorder.note(Record::RequestCancelled {
                     time: Timestamp::from_micros(now),
                     request: ask,
                 });
                 return Try::Again(self.crowd.retry_pause);
             }
-            None | Some(Err(Failure::MayHaveRun(_))) => {
+            None | Some(Err(CallError::MaybeExecuted(_))) => {
                 self.recorder.note(Record::RequestUnanswered {
                     time: Timestamp::from_micros(now),
                     request: ask,
@@ -370,7 +373,7 @@
                 if self.roll() < 0.5 {
                     let target = format!("/sessions/{session}");
                     let end = Call::new("DELETE", &target, &host);
-                    let _ = in_time(Duration::from_secs(2), pool.call(&end)).await;
+                    let _ = with_timeout(Duration::from_secs(2), pool.call(&end)).await;
                 }
                 watched
             }
@@ -464,7 +467,7 @@
                 }
                 // Nothing at all for five seconds: the picture stands, and the viewer gives up.
                 let wait = left.min(Duration::from_secs(5));
-                match in_time(wait, frames.next()).await {
+                match with_timeout(wait, frames.next()).await {
                     Some(Some(bytes)) => {
                         meter.take(&bytes);
                         // Many sessions outlast the day and this run: what counts of them is known now.
@@ -512,13 +515,13 @@
 }
 
 /// Opens a stream by its URL.
-pub(crate) async fn open(url: &str) -> Option<Incoming<async_io::Async<std::net::TcpStream>>> {
+pub(crate) async fn open(url: &str) -> Option<BodyStream<async_io::Async<std::net::TcpStream>>> {
     let (host, path) = url.strip_prefix("http://")?.split_once('/')?;
     let target = format!("/{path}");
     let pool = Pool::new(host.parse().ok()?, Limits::default(), Duration::ZERO, 0);
     let call = Call::new("GET", &target, host);
     let opening = async { pool.connect().await.ok()?.stream(&call).await.ok() };
-    let (head, frames) = in_time(Duration::from_secs(5), opening).await??;
+    let (head, frames) = with_timeout(Duration::from_secs(5), opening).await??;
     (head.status == 200).then_some(frames)
 }
 
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,6 +1,6 @@
 //! Content of messages: framings read piece by piece, chunks written.
 
-use crate::{Bad, Limits};
+use crate::{HttpError, Limits};
 
 /// How a message's content is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 
 /// Reads the content of one message from a stream of bytes.
 #[derive(Debug)]
-pub struct Body {
+pub struct BodyDecoder {
     state: State,
     left: usize,
     trailer: usize,
@@ -37,7 +37,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Piece<'b> {
     /// More bytes are needed.
-    More,
+    NeedMore,
     /// So many bytes are used up, of which these are content.
     Data(usize, &'b [u8]),
     /// The content has ended, after so many bytes more.
@@ -47,27 +47,27 @@
 /// A chunk's size line may be so long; extensions are dropped.
 const SIZE_LINE: usize = 128;
 
-impl Body {
+impl BodyDecoder {
     /// Fails at once where a stated length is over the limit.
-    pub fn new(framing: Framing, limits: &Limits) -> Result<Body, Bad> {
+    pub fn new(framing: Framing, limits: &Limits) -> Result<BodyDecoder, HttpError> {
         if matches!(framing, Framing::Length(n) if n > limits.body as u64) {
-            return Err(Bad::new(413, "content over the limit"));
+            return Err(HttpError::new(413, "content over the limit"));
         }
-        Ok(Body {
+        Ok(BodyDecoder {
             left: limits.body,
             trailer: limits.head,
-            ..Body::endless(framing)
+            ..BodyDecoder::unbounded(framing)
         })
     }
 
     /// Content without a bound, for event streams; each piece is bounded by what is read at once.
-    pub fn endless(framing: Framing) -> Body {
+    pub fn unbounded(framing: Framing) -> BodyDecoder {
         let state = match framing {
             Framing::Length(n) => State::Length(n),
             Framing::Chunked => State::Size,
             Framing::ToClose => State::ToClose,
         };
-        Body {
+        BodyDecoder {
             state,
             left: usize::MAX,
             trailer: 16 * 1024,
@@ -75,14 +75,14 @@
     }
 
     /// The connection has closed: whether the content was whole.
-    pub fn closed(&self) -> bool {
+    pub fn is_complete_at_close(&self) -> bool {
         matches!(self.state, State::ToClose | State::End | State::Length(0))
     }
 
-    fn data<'b>(&mut self, buf: &'b [u8], most: u64) -> Result<Piece<'b>, Bad> {
+    fn data<'b>(&mut self, buf: &'b [u8], most: u64) -> Result<Piece<'b>, HttpError> {
         let n = buf.len().min(usize::try_from(most).unwrap_or(usize::MAX));
         if n > self.left {
-            return Err(Bad::new(413, "content over the limit"));
+            return Err(HttpError::new(413, "content over the limit"));
         }
         if self.left != usize::MAX {
             self.left -= n;
@@ -91,10 +91,10 @@
     }
 
     /// Looks at unread bytes. Call again, behind those used, until it ends or needs more.
-    pub fn next<'b>(&mut self, buf: &'b [u8]) -> Result<Piece<'b>, Bad> {
+    pub fn next<'b>(&mut self, buf: &'b [u8]) -> Result<Piece<'b>, HttpError> {
         match self.state {
             State::End | State::Length(0) => Ok(Piece::End(0)),
-            _ if buf.is_empty() => Ok(Piece::More),
+            _ if buf.is_empty() => Ok(Piece::NeedMore),
             State::Length(n) => {
                 let piece = self.data(buf, n)?;
                 if let Piece::Data(used, _) = piece {
@@ -107,26 +107,26 @@
                 let Some(end) = buf.iter().take(SIZE_LINE).position(|b| *b == b'\n') else {
                     let long = buf.len() >= SIZE_LINE;
                     return if long {
-                        Err(Bad::new(400, "chunk size line too long"))
+                        Err(HttpError::new(400, "chunk size line too long"))
                     } else {
-                        Ok(Piece::More)
+                        Ok(Piece::NeedMore)
                     };
                 };
                 let line = &buf[..end];
                 let line = line
                     .strip_suffix(b"\r")
-                    .ok_or(Bad::new(400, "a line ends without CR"))?;
+                    .ok_or(HttpError::new(400, "a line ends without CR"))?;
                 let size = line.split(|b| *b == b';').next().unwrap_or_default();
                 if size.is_empty() || !size.iter().all(u8::is_ascii_hexdigit) {
-                    return Err(Bad::new(400, "chunk size is not hex digits"));
+                    return Err(HttpError::new(400, "chunk size is not hex digits"));
                 }
                 if size.len() > 15 {
-                    return Err(Bad::new(413, "chunk size over the limit"));
+                    return Err(HttpError::new(413, "chunk size over the limit"));
                 }
                 let digit = |d: &u8| u64::from((*d as char).to_digit(16).unwrap_or(0));
                 let size = size.iter().fold(0, |n, d| n * 16 + digit(d));
                 if size > self.left as u64 {
-                    return Err(Bad::new(413, "content over the limit"));
+                    return Err(HttpError::new(413, "content over the limit"));
                 }
                 self.state = if size == 0 {
                     State::Trailer(0)
@@ -152,23 +152,23 @@
                     self.state = State::Size;
                     Ok(Piece::Data(2, &[]))
                 }
-                [b'\r'] => Ok(Piece::More),
-                _ => Err(Bad::new(400, "chunk data runs past its size")),
+                [b'\r'] => Ok(Piece::NeedMore),
+                _ => Err(HttpError::new(400, "chunk data runs past its size")),
             },
             State::Trailer(seen) => {
                 let Some(end) = buf.iter().position(|b| *b == b'\n') else {
                     let long = seen + buf.len() > self.trailer;
                     return if long {
-                        Err(Bad::new(431, "trailer too large"))
+                        Err(HttpError::new(431, "trailer too large"))
                     } else {
-                        Ok(Piece::More)
+                        Ok(Piece::NeedMore)
                     };
                 };
                 if seen + end > self.trailer {
-                    return Err(Bad::new(431, "trailer too large"));
+                    return Err(HttpError::new(431, "trailer too large"));
                 }
                 if end == 0 || buf[end - 1] != b'\r' {
-                    return Err(Bad::new(400, "a line ends without CR"));
+                    return Err(HttpError::new(400, "a line ends without CR"));
                 }
                 if end == 1 {
                     self.state = State::End;
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,7 +1,7 @@
 //! A client connection: one request at a time, and a failure that says whether the request can have run.
 
-use crate::body::{Body, Piece};
-use crate::head::{Finder, ResponseHead, write_request};
+use crate::body::{BodyDecoder, Piece};
+use crate::head::{HeadParser, ResponseHead, write_request};
 use crate::{Limits, sse};
 use async_io::Timer;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, future};
@@ -12,28 +12,28 @@
 
 /// Why a call has no whole answer.
 #[derive(Debug)]
-pub enum Failure {
+pub enum CallError {
     /// There is no connection, so nothing of it left.
-    NotConnected(Unconnected, String),
+    NotConnected(ConnectErrorKind, String),
     /// No byte of the request was taken by the stream: it never ran.
-    NeverRan(String),
+    NotExecuted(String),
     /// At least one byte was: it may have run, whatever else is known.
-    MayHaveRun(String),
+    MaybeExecuted(String),
 }
 
 /// What a connection that could not be made says of the other side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unconnected {
+pub enum ConnectErrorKind {
     /// Nobody listens there: the only proof that a process is gone.
     Refused,
     /// This machine is short of something of its own: descriptors, ports, memory. It says nothing of the other side.
-    Own,
+    LocalShortage,
     /// Anything else, as a route that is away: no proof of anything.
     Unknown,
 }
 
-impl Unconnected {
-    pub fn of(error: &std::io::Error) -> Unconnected {
+impl ConnectErrorKind {
+    pub fn of(error: &std::io::Error) -> ConnectErrorKind {
         let own = [
             Errno::MFILE,
             Errno::NFILE,
@@ -43,9 +43,9 @@
             Errno::AGAIN,
         ];
         match error.raw_os_error().map(Errno::from_raw_os_error) {
-            Some(Errno::CONNREFUSED) => Unconnected::Refused,
-            Some(errno) if own.contains(&errno) => Unconnected::Own,
-            _ => Unconnected::Unknown,
+            Some(Errno::CONNREFUSED) => ConnectErrorKind::Refused,
+            Some(errno) if own.contains(&errno) => ConnectErrorKind::LocalShortage,
+            _ => ConnectErrorKind::Unknown,
         }
     }
 }
@@ -57,10 +57,11 @@
     pub body: Vec<u8>,
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for CallError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (Failure::NotConnected(_, why) | Failure::NeverRan(why) | Failure::MayHaveRun(why)) =
-            self;
+        let (CallError::NotConnected(_, why)
+        | CallError::NotExecuted(why)
+        | CallError::MaybeExecuted(why)) = self;
         write!(f, "{why}")
     }
 }
@@ -125,7 +126,7 @@
 }
 
 /// Gives up on a future after `within`.
-pub async fn in_time<T>(within: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(within: Duration, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
         Timer::after(within).await;
         None
@@ -180,7 +181,7 @@
 
     /// The peer has closed it, or has sent what nobody asked for. Such a connection may not carry a paid
     /// set-up: whether the request was read could not be told any more.
-    pub async fn stale(&mut self) -> bool {
+    pub async fn is_closed_by_peer(&mut self) -> bool {
         let mut byte = [0];
         !self.buf.is_empty()
             || future::poll_once(self.stream.read(&mut byte))
@@ -189,7 +190,7 @@
     }
 
     /// Sends a request and waits for the head of its answer.
-    async fn start(&mut self, call: &Call<'_>) -> Result<ResponseHead, Failure> {
+    async fn start(&mut self, call: &Call<'_>) -> Result<ResponseHead, CallError> {
         self.spent = true; // until the answer is whole
         let bytes = call.bytes();
         let mut at = 0;
@@ -198,7 +199,9 @@
             match self.stream.write(&bytes[at..]).await {
                 Ok(n) if n > 0 => at += n,
                 result if at == 0 => {
-                    return Err(Failure::NeverRan(format!("nothing written: {result:?}")));
+                    return Err(CallError::NotExecuted(format!(
+                        "nothing written: {result:?}"
+                    )));
                 }
                 result => {
                     // The peer may have answered early and closed: its answer stands.
@@ -207,17 +210,17 @@
                 }
             }
         }
-        let failed = |what: String| Failure::MayHaveRun(what);
-        let mut finder = Finder::default();
+        let failed = |what: String| CallError::MaybeExecuted(what);
+        let mut finder = HeadParser::default();
         loop {
-            match finder.response(&self.buf, &self.limits, call.method == "HEAD") {
+            match finder.parse_response(&self.buf, &self.limits, call.method == "HEAD") {
                 Err(bad) => return Err(failed(format!("the answer is malformed: {bad}"))),
                 Ok(Some((head, used))) => {
                     self.buf.drain(..used);
                     if head.status >= 200 {
                         return Ok(head);
                     }
-                    finder = Finder::default();
+                    finder = HeadParser::default();
                     continue;
                 }
                 Ok(None) => {}
@@ -235,10 +238,12 @@
     }
 
     /// Sends a request and takes its whole answer. Waits as long as the caller does: drop it to give up.
-    pub async fn call(&mut self, call: &Call<'_>) -> Result<Response, Failure> {
+    pub async fn call(&mut self, call: &Call<'_>) -> Result<Response, CallError> {
         let head = self.start(call).await?;
-        let cut = |what: String| Failure::MayHaveRun(format!("{} cut short: {what}", head.status));
-        let mut body = Body::new(head.framing, &self.limits).map_err(|b| cut(b.to_string()))?;
+        let cut =
+            |what: String| CallError::MaybeExecuted(format!("{} cut short: {what}", head.status));
+        let mut body =
+            BodyDecoder::new(head.framing, &self.limits).map_err(|b| cut(b.to_string()))?;
         let mut content = Vec::new();
         loop {
             match body.next(&self.buf).map_err(|b| cut(b.to_string()))? {
@@ -248,14 +253,14 @@
                 }
                 Piece::End(used) => {
                     self.buf.drain(..used);
-                    self.spent = !head.keep;
+                    self.spent = !head.keep_alive;
                     return Ok(Response {
                         head,
                         body: content,
                     });
                 }
-                Piece::More => match fill(&mut self.stream, &mut self.buf).await {
-                    Ok(0) if body.closed() => {
+                Piece::NeedMore => match fill(&mut self.stream, &mut self.buf).await {
+                    Ok(0) if body.is_complete_at_close() => {
                         return Ok(Response {
                             head,
                             body: content,
@@ -270,12 +275,15 @@
     }
 
     /// Asks for content without an end and hands over the connection for it.
-    pub async fn stream(mut self, call: &Call<'_>) -> Result<(ResponseHead, Incoming<S>), Failure> {
+    pub async fn stream(
+        mut self,
+        call: &Call<'_>,
+    ) -> Result<(ResponseHead, BodyStream<S>), CallError> {
         let head = self.start(call).await?;
-        let body = Body::endless(head.framing);
+        let body = BodyDecoder::unbounded(head.framing);
         Ok((
             head,
-            Incoming {
+            BodyStream {
                 stream: self.stream,
                 buf: self.buf,
                 body,
@@ -285,13 +293,13 @@
 }
 
 /// Content that arrives for as long as the peer sends it.
-pub struct Incoming<S> {
+pub struct BodyStream<S> {
     stream: S,
     buf: Vec<u8>,
-    body: Body,
+    body: BodyDecoder,
 }
 
-impl<S: AsyncRead + Unpin> Incoming<S> {
+impl<S: AsyncRead + Unpin> BodyStream<S> {
     /// The next bytes; none when the content has ended or broke.
     pub async fn next(&mut self) -> Option<Vec<u8>> {
         loop {
@@ -304,7 +312,7 @@
                     }
                 }
                 Piece::End(_) => return None,
-                Piece::More => {
+                Piece::NeedMore => {
                     if fill(&mut self.stream, &mut self.buf).await.ok()? == 0 {
                         return None;
                     }
@@ -315,18 +323,18 @@
 }
 
 /// Server-sent events over an endless answer.
-pub struct Events<S> {
-    incoming: Incoming<S>,
-    reader: sse::Reader,
+pub struct EventStream<S> {
+    incoming: BodyStream<S>,
+    reader: sse::Decoder,
     ready: Vec<sse::Event>,
 }
 
-impl<S: AsyncRead + Unpin> Events<S> {
+impl<S: AsyncRead + Unpin> EventStream<S> {
     /// `most`: bytes that one event may hold.
-    pub fn new(incoming: Incoming<S>, most: usize) -> Events<S> {
-        Events {
+    pub fn new(incoming: BodyStream<S>, most: usize) -> EventStream<S> {
+        EventStream {
             incoming,
-            reader: sse::Reader::new(most),
+            reader: sse::Decoder::new(most),
             ready: Vec::new(),
         }
     }
@@ -334,7 +342,7 @@
     /// The next events, in order; none when the stream has ended, broke, or was silent for so long. Beats
     /// count as a sign of life and give an empty list.
     pub async fn next(&mut self, silence: Duration) -> Option<Vec<sse::Event>> {
-        let bytes = in_time(silence, self.incoming.next()).await??;
+        let bytes = with_timeout(silence, self.incoming.next()).await??;
         self.reader.feed(&bytes, &mut self.ready).ok()?;
         Some(std::mem::take(&mut self.ready))
     }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -3,7 +3,7 @@
 //! The parser is strict where leniency lets two readers of one stream disagree (RFC 9112, section 11): line
 //! ends are CRLF, no folding, no space before a colon, one framing. What it refuses it refuses with a status.
 
-use crate::{Bad, Limits, body::Framing};
+use crate::{HttpError, Limits, body::Framing};
 use std::ops::Range;
 
 /// Header fields of one message, kept as the bytes that came.
@@ -56,7 +56,7 @@
     pub fields: Fields,
     pub framing: Framing,
     /// The connection may carry another request after this one.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl RequestHead {
@@ -87,19 +87,19 @@
     pub status: u16,
     pub fields: Fields,
     pub framing: Framing,
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// Finds the end of a head in a buffer that grows, without reading any byte twice: a peer that sends single
 /// bytes costs no more than one that sends them at once.
 #[derive(Clone, Debug, Default)]
-pub struct Finder {
+pub struct HeadParser {
     at: usize,
 }
 
-impl Finder {
+impl HeadParser {
     /// Length of the head, its empty line included, once it is whole.
-    pub fn find(&mut self, buf: &[u8], limits: &Limits) -> Result<Option<usize>, Bad> {
+    pub fn find_end(&mut self, buf: &[u8], limits: &Limits) -> Result<Option<usize>, HttpError> {
         let from = self.at.saturating_sub(3);
         let end = buf[from..]
             .windows(4)
@@ -107,42 +107,42 @@
             .map(|i| from + i + 4);
         self.at = buf.len();
         if end.unwrap_or(buf.len()) > limits.head {
-            return Err(Bad::new(431, "header block too large"));
+            return Err(HttpError::new(431, "header block too large"));
         }
         Ok(end)
     }
 
     /// A request head, and how many bytes it took. None: more is needed.
-    pub fn request(
+    pub fn parse_request(
         &mut self,
         buf: &[u8],
         limits: &Limits,
-    ) -> Result<Option<(RequestHead, usize)>, Bad> {
+    ) -> Result<Option<(RequestHead, usize)>, HttpError> {
         // One empty line before a request is passed over (RFC 9112, section 2.2).
         let skip = if buf.starts_with(b"\r\n") { 2 } else { 0 };
         let rest = &buf[skip..];
         // A start line that is wrong is told before the rest has come; a bare LF never becomes an end.
         if !rest.iter().take(limits.target + 32).any(|b| *b == b'\n') {
             if rest.len() >= limits.target + 32 {
-                return Err(Bad::new(414, "request target too long"));
+                return Err(HttpError::new(414, "request target too long"));
             }
-            return self.find(rest, limits).map(|_| None);
+            return self.find_end(rest, limits).map(|_| None);
         }
         let line = rest.split(|b| *b == b'\n').next().unwrap_or_default();
         let line = line
             .strip_suffix(b"\r")
-            .ok_or(Bad::new(400, "a line ends without CR"))?;
+            .ok_or(HttpError::new(400, "a line ends without CR"))?;
         let (method, target) = start_line(line, limits)?;
-        let Some(end) = self.find(rest, limits)? else {
+        let Some(end) = self.find_end(rest, limits)? else {
             return Ok(None);
         };
         let old = line.ends_with(b"1.0");
-        let fields = fields(&rest[line.len() + 2..end], limits)?;
+        let fields = parse_fields(&rest[line.len() + 2..end], limits)?;
         let framing = framing(&fields, old)?.unwrap_or(Framing::Length(0));
         if !old && fields.all("host").count() != 1 {
-            return Err(Bad::new(400, "one Host is needed"));
+            return Err(HttpError::new(400, "one Host is needed"));
         }
-        let keep = !fields.lists("connection", "close")
+        let keep_alive = !fields.lists("connection", "close")
             && (!old || fields.lists("connection", "keep-alive"));
         Ok(Some((
             RequestHead {
@@ -150,24 +150,24 @@
                 target,
                 fields,
                 framing,
-                keep,
+                keep_alive,
             },
             skip + end,
         )))
     }
 
     /// A response head, and how many bytes it took. `bodiless`: the request was a HEAD.
-    pub fn response(
+    pub fn parse_response(
         &mut self,
         buf: &[u8],
         limits: &Limits,
         bodiless: bool,
-    ) -> Result<Option<(ResponseHead, usize)>, Bad> {
-        let Some(end) = self.find(buf, limits)? else {
+    ) -> Result<Option<(ResponseHead, usize)>, HttpError> {
+        let Some(end) = self.find_end(buf, limits)? else {
             return Ok(None);
         };
         let line = buf[..end].split(|b| *b == b'\n').next().unwrap_or_default();
-        let bad = Bad::new(502, "status line is malformed");
+        let bad = HttpError::new(502, "status line is malformed");
         let line = line.strip_suffix(b"\r").ok_or(bad)?;
         let old = line.starts_with(b"HTTP/1.0 ");
         if !(old || line.starts_with(b"HTTP/1.1 ")) || line.len() < 12 {
@@ -181,19 +181,20 @@
         if !(100..600).contains(&status) || line[12..].iter().any(|b| control(*b)) {
             return Err(bad);
         }
-        let fields = fields(&buf[line.len() + 2..end], limits)?;
+        let fields = parse_fields(&buf[line.len() + 2..end], limits)?;
         let framing = match framing(&fields, old)? {
             _ if bodiless || status < 200 || status == 204 || status == 304 => Framing::Length(0),
             Some(f) => f,
             None => Framing::ToClose,
         };
-        let keep = !old && framing != Framing::ToClose && !fields.lists("connection", "close");
+        let keep_alive =
+            !old && framing != Framing::ToClose && !fields.lists("connection", "close");
         Ok(Some((
             ResponseHead {
                 status,
                 fields,
                 framing,
-                keep,
+                keep_alive,
             },
             end,
         )))
@@ -209,8 +210,8 @@
     (b < 0x20 && b != b'\t') || b == 0x7f
 }
 
-fn start_line(line: &[u8], limits: &Limits) -> Result<(String, String), Bad> {
-    let bad = Bad::new(400, "request line is malformed");
+fn start_line(line: &[u8], limits: &Limits) -> Result<(String, String), HttpError> {
+    let bad = HttpError::new(400, "request line is malformed");
     let mut parts = line.split(|b| *b == b' ');
     let (Some(method), Some(target), Some(version), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
@@ -225,7 +226,7 @@
         return Err(bad);
     }
     if target.len() > limits.target {
-        return Err(Bad::new(414, "request target too long"));
+        return Err(HttpError::new(414, "request target too long"));
     }
     if !target.iter().all(u8::is_ascii_graphic) {
         return Err(bad);
@@ -233,7 +234,7 @@
     match version {
         b"HTTP/1.1" | b"HTTP/1.0" => {}
         v if v.starts_with(b"HTTP/") => {
-            return Err(Bad::new(505, "only version 1.1 is spoken here"));
+            return Err(HttpError::new(505, "only version 1.1 is spoken here"));
         }
         _ => return Err(bad),
     }
@@ -243,7 +244,7 @@
 
 /// The header fields of a head, from behind its start line to its empty line. RTSP's have the same form
 /// (RFC 7826, section 5.2).
-pub fn fields(block: &[u8], limits: &Limits) -> Result<Fields, Bad> {
+pub fn parse_fields(block: &[u8], limits: &Limits) -> Result<Fields, HttpError> {
     let mut found = Fields {
         block: block.to_vec(),
         spans: Vec::new(),
@@ -256,27 +257,27 @@
             .unwrap_or(block.len() - at);
         let line = &block[at..at + len];
         let Some(line) = line.strip_suffix(b"\r") else {
-            return Err(Bad::new(400, "a line ends without CR"));
+            return Err(HttpError::new(400, "a line ends without CR"));
         };
         if line.is_empty() {
             break;
         }
         if found.spans.len() == limits.fields {
-            return Err(Bad::new(431, "too many header fields"));
+            return Err(HttpError::new(431, "too many header fields"));
         }
         if line[0] == b' ' || line[0] == b'\t' {
-            return Err(Bad::new(400, "a header field is folded"));
+            return Err(HttpError::new(400, "a header field is folded"));
         }
         let colon = line
             .iter()
             .position(|b| *b == b':')
-            .ok_or(Bad::new(400, "a header field has no colon"))?;
+            .ok_or(HttpError::new(400, "a header field has no colon"))?;
         if colon == 0 || !line[..colon].iter().all(|b| token(*b)) {
-            return Err(Bad::new(400, "a header field's name is malformed"));
+            return Err(HttpError::new(400, "a header field's name is malformed"));
         }
         let value = &line[colon + 1..];
         if value.iter().any(|b| control(*b)) {
-            return Err(Bad::new(
+            return Err(HttpError::new(
                 400,
                 "a header field's value holds a control character",
             ));
@@ -295,24 +296,27 @@
 
 /// How the content is delimited (RFC 9112, section 6.3). Two ways at once are refused: that is how requests
 /// are smuggled past a front.
-fn framing(fields: &Fields, old: bool) -> Result<Option<Framing>, Bad> {
+fn framing(fields: &Fields, old: bool) -> Result<Option<Framing>, HttpError> {
     let mut lengths = fields.all("content-length");
     let length = lengths.next();
     if lengths.next().is_some() {
-        return Err(Bad::new(400, "more than one Content-Length"));
+        return Err(HttpError::new(400, "more than one Content-Length"));
     }
     let mut codings = fields.all("transfer-encoding");
     let coding = codings.next();
     match (length, coding) {
-        (Some(_), Some(_)) => Err(Bad::new(400, "both Content-Length and Transfer-Encoding")),
-        (None, Some(_)) if old => Err(Bad::new(400, "Transfer-Encoding in HTTP/1.0")),
+        (Some(_), Some(_)) => Err(HttpError::new(
+            400,
+            "both Content-Length and Transfer-Encoding",
+        )),
+        (None, Some(_)) if old => Err(HttpError::new(400, "Transfer-Encoding in HTTP/1.0")),
         (None, Some(c)) if c.eq_ignore_ascii_case(b"chunked") && codings.next().is_none() => {
             Ok(Some(Framing::Chunked))
         }
-        (None, Some(_)) => Err(Bad::new(501, "transfer coding is not known")),
+        (None, Some(_)) => Err(HttpError::new(501, "transfer coding is not known")),
         (Some(digits), None) => {
             if digits.is_empty() || digits.len() > 15 || !digits.iter().all(u8::is_ascii_digit) {
-                return Err(Bad::new(400, "Content-Length is not a length"));
+                return Err(HttpError::new(400, "Content-Length is not a length"));
             }
             let length = digits
                 .iter()
@@ -324,7 +328,7 @@
 }
 
 /// The reason phrase of a status, for people who read a trace.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
@@ -382,7 +386,7 @@
     out.extend_from_slice(b"HTTP/1.1 ");
     out.extend_from_slice(status.to_string().as_bytes());
     out.push(b' ');
-    out.extend_from_slice(reason(status).as_bytes());
+    out.extend_from_slice(reason_phrase(status).as_bytes());
     out.extend_from_slice(b"\r\n");
     put_fields(out, fields);
     out.extend_from_slice(b"\r\n");
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! What this crate may know: bytes, limits, time-outs. What it must not: sessions, servers, rules. Yet one
 //! thing that the rules need can only be seen here: whether any byte of a request reached the other side's
-//! stream. [`client::Failure`] says so, and nothing above has to guess.
+//! stream. [`client::CallError`] says so, and nothing above has to guess.
 
 pub mod body;
 pub mod client;
@@ -29,15 +29,15 @@
     /// A message's content; more gets 413.
     pub body: usize,
     /// Bytes read ahead while a request is being answered.
-    pub pipeline: usize,
+    pub read_ahead: usize,
     /// From the first byte of a head to its end; then 408.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// For the content after the head; then 408.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// A kept connection without a request is closed after this.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// For one write of a peer that takes nothing.
-    pub write_time: Duration,
+    pub write_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -47,33 +47,33 @@
             head: 16 * 1024,
             fields: 64,
             body: 64 * 1024,
-            pipeline: 64 * 1024,
-            head_time: Duration::from_secs(5),
-            body_time: Duration::from_secs(5),
-            idle_time: Duration::from_secs(30),
-            write_time: Duration::from_secs(10),
+            read_ahead: 64 * 1024,
+            head_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(30),
+            write_timeout: Duration::from_secs(10),
         }
     }
 }
 
 /// Why a message can't be taken, and the status that tells its sender so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct HttpError {
     /// Status of the answer, 400 to 599.
     pub status: u16,
-    pub what: &'static str,
+    pub detail: &'static str,
 }
 
-impl Bad {
-    pub const fn new(status: u16, what: &'static str) -> Bad {
-        Bad { status, what }
+impl HttpError {
+    pub const fn new(status: u16, detail: &'static str) -> HttpError {
+        HttpError { status, detail }
     }
 }
 
-impl std::fmt::Display for Bad {
+impl std::fmt::Display for HttpError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} ({})", self.what, self.status)
+        write!(f, "{} ({})", self.detail, self.status)
     }
 }
 
-impl std::error::Error for Bad {}
+impl std::error::Error for HttpError {}
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,7 +1,7 @@
 //! Kept connections to one peer.
 
 use crate::Limits;
-use crate::client::{Call, Connection, Failure, Response, Unconnected};
+use crate::client::{Call, CallError, ConnectErrorKind, Connection, Response};
 use async_io::Async;
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
@@ -12,18 +12,23 @@
     address: SocketAddr,
     limits: Limits,
     /// Idle connections are kept so long, and so many of them.
-    idle_time: Duration,
-    most_idle: usize,
+    idle_timeout: Duration,
+    max_idle: usize,
     idle: RefCell<Vec<(Instant, Connection<Async<TcpStream>>)>>,
 }
 
 impl Pool {
-    pub fn new(address: SocketAddr, limits: Limits, idle_time: Duration, most_idle: usize) -> Pool {
+    pub fn new(
+        address: SocketAddr,
+        limits: Limits,
+        idle_timeout: Duration,
+        max_idle: usize,
+    ) -> Pool {
         Pool {
             address,
             limits,
-            idle_time,
-            most_idle,
+            idle_timeout,
+            max_idle,
             idle: RefCell::default(),
         }
     }
@@ -38,22 +43,22 @@
     }
 
     /// A new connection, for content without an end.
-    pub async fn connect(&self) -> Result<Connection<Async<TcpStream>>, Failure> {
+    pub async fn connect(&self) -> Result<Connection<Async<TcpStream>>, CallError> {
         let made = Async::<TcpStream>::connect(self.address).await;
         let stream = made.map_err(|e| {
-            Failure::NotConnected(Unconnected::of(&e), format!("no connection: {e}"))
+            CallError::NotConnected(ConnectErrorKind::of(&e), format!("no connection: {e}"))
         })?;
         // Small requests and answers: waiting to fill a segment would only add delay.
         let _ = stream.get_ref().set_nodelay(true);
         Ok(Connection::new(stream, self.limits.clone()))
     }
 
-    async fn take(&self) -> Result<Connection<Async<TcpStream>>, Failure> {
+    async fn take(&self) -> Result<Connection<Async<TcpStream>>, CallError> {
         loop {
             let Some((since, mut kept)) = self.idle.borrow_mut().pop() else {
                 return self.connect().await;
             };
-            if since.elapsed() < self.idle_time && !kept.stale().await {
+            if since.elapsed() < self.idle_timeout && !kept.is_closed_by_peer().await {
                 return Ok(kept);
             }
         }
@@ -61,11 +66,11 @@
 
     /// One call, on a kept connection where there is one. It is never sent twice: a kept connection that
     /// breaks under it is a failure like any other.
-    pub async fn call(&self, call: &Call<'_>) -> Result<Response, Failure> {
+    pub async fn call(&self, call: &Call<'_>) -> Result<Response, CallError> {
         let mut connection = self.take().await?;
         let response = connection.call(call).await?;
         let mut idle = self.idle.borrow_mut();
-        if connection.reusable() && idle.len() < self.most_idle {
+        if connection.reusable() && idle.len() < self.max_idle {
             idle.push((Instant::now(), connection));
         }
         Ok(response)
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,6 +1,6 @@
 //! Server-sent events (the HTML standard's event stream): lines in, events out.
 
-use crate::Bad;
+use crate::HttpError;
 
 /// One event: its type and its data, lines joined.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -11,16 +11,16 @@
 
 /// Collects lines into events, bounded.
 #[derive(Debug)]
-pub struct Reader {
+pub struct Decoder {
     line: Vec<u8>,
     event: Event,
     most: usize,
 }
 
-impl Reader {
+impl Decoder {
     /// `most`: bytes that one event may hold.
-    pub fn new(most: usize) -> Reader {
-        Reader {
+    pub fn new(most: usize) -> Decoder {
+        Decoder {
             line: Vec::new(),
             event: Event::default(),
             most,
@@ -28,16 +28,16 @@
     }
 
     /// Takes bytes and appends the events that they complete.
-    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), Bad> {
+    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), HttpError> {
         for part in bytes.split_inclusive(|b| *b == b'\n') {
             if self.line.len() + self.event.data.len() + part.len() > self.most {
-                return Err(Bad::new(413, "event over the limit"));
+                return Err(HttpError::new(413, "event over the limit"));
             }
             self.line.extend_from_slice(part);
             if part.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
-                let text =
-                    std::str::from_utf8(&line).map_err(|_| Bad::new(400, "event is not UTF-8"))?;
+                let text = std::str::from_utf8(&line)
+                    .map_err(|_| HttpError::new(400, "event is not UTF-8"))?;
                 self.take(text.trim_end_matches(['\n', '\r']), out);
             }
         }
@@ -68,7 +68,7 @@
 }
 
 /// Writes one event. Line ends in the data become further data lines.
-pub fn write(out: &mut Vec<u8>, kind: &str, data: &str) {
+pub fn write_event(out: &mut Vec<u8>, kind: &str, data: &str) {
     out.extend_from_slice(format!("event: {kind}\n").as_bytes());
     for line in data.lines() {
         out.extend_from_slice(format!("data: {line}\n").as_bytes());
@@ -77,4 +77,4 @@
 }
 
 /// A comment, which keeps a quiet stream from looking dead.
-pub const BEAT: &[u8] = b": beat\n\n";
+pub const KEEP_ALIVE: &[u8] = b": beat\n\n";
--- a/crates/http/tests/hostile.rs
+++ b/crates/http/tests/hostile.rs
@@ -4,7 +4,7 @@
 use async_io::{Async, block_on};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use shalewall_http::Limits;
-use shalewall_http::server::{Ended, Reply, serve};
+use shalewall_http::server::{ConnectionEnd, Reply, serve};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
         head: 1000,
         fields: 10,
         body: 200,
-        head_time: Duration::from_millis(300),
-        body_time: Duration::from_millis(300),
+        head_timeout: Duration::from_millis(300),
+        body_timeout: Duration::from_millis(300),
         ..Limits::default()
     }
 }
 
 /// What a server says to these bytes, and how it ended.
-fn answer_to(bytes: &[u8], close: bool) -> (String, Ended) {
+fn answer_to(bytes: &[u8], close: bool) -> (String, ConnectionEnd) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let limits = limits();
@@ -207,7 +207,7 @@
             "{name}: one answer only"
         );
         assert!(
-            matches!(ended, Ended::Refused(bad) if bad.status == status),
+            matches!(ended, ConnectionEnd::Rejected(bad) if bad.status == status),
             "{name}: {ended:?}"
         );
     }
@@ -224,7 +224,7 @@
         .map(|p| said.find(p).expect(p))
         .collect();
     assert!(places.is_sorted(), "{said}");
-    assert!(matches!(ended, Ended::Idle));
+    assert!(matches!(ended, ConnectionEnd::Idle));
 }
 
 #[test]
@@ -233,7 +233,10 @@
     for at in 1..whole.len() {
         let (said, ended) = answer_to(&whole[..at], true);
         assert!(said.is_empty(), "cut at {at}: {said}");
-        assert!(matches!(ended, Ended::Cut(_)), "cut at {at}: {ended:?}");
+        assert!(
+            matches!(ended, ConnectionEnd::Truncated(_)),
+            "cut at {at}: {ended:?}"
+        );
     }
 }
 
@@ -252,18 +255,18 @@
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
         serve(stream, &limits, |_| future::pending()).await
     });
-    assert!(matches!(ended, Ended::Left));
+    assert!(matches!(ended, ConnectionEnd::PeerClosed));
 }
 
 /// What a failure to connect says of the other side: only a refusal is proof that nobody is there.
 #[test]
 fn failures_to_connect_are_told_apart() {
-    use shalewall_http::client::Unconnected;
+    use shalewall_http::client::ConnectErrorKind;
     let of = |errno: rustix::io::Errno| {
-        Unconnected::of(&std::io::Error::from_raw_os_error(errno.raw_os_error()))
+        ConnectErrorKind::of(&std::io::Error::from_raw_os_error(errno.raw_os_error()))
     };
     use rustix::io::Errno;
-    assert_eq!(of(Errno::CONNREFUSED), Unconnected::Refused);
+    assert_eq!(of(Errno::CONNREFUSED), ConnectErrorKind::Refused);
     for own in [
         Errno::MFILE,
         Errno::NFILE,
@@ -272,7 +275,7 @@
         Errno::NOMEM,
         Errno::AGAIN,
     ] {
-        assert_eq!(of(own), Unconnected::Own, "{own}");
+        assert_eq!(of(own), ConnectErrorKind::LocalShortage, "{own}");
     }
     for other in [
         Errno::NETUNREACH,
@@ -281,10 +284,10 @@
         Errno::CONNRESET,
         Errno::ACCESS,
     ] {
-        assert_eq!(of(other), Unconnected::Unknown, "{other}");
+        assert_eq!(of(other), ConnectErrorKind::Unknown, "{other}");
     }
     assert_eq!(
-        Unconnected::of(&std::io::Error::other("x")),
-        Unconnected::Unknown
+        ConnectErrorKind::of(&std::io::Error::other("x")),
+        ConnectErrorKind::Unknown
     );
 }
--- a/crates/http/tests/parser.rs
+++ b/crates/http/tests/parser.rs
@@ -1,8 +1,8 @@
 //! The parser against httparse and against its own writer, on random messages and random bytes.
 
 use proptest::prelude::*;
-use shalewall_http::body::{Body, Framing, LAST_CHUNK, Piece, write_chunk};
-use shalewall_http::head::{Finder, write_request, write_response};
+use shalewall_http::body::{BodyDecoder, Framing, LAST_CHUNK, Piece, write_chunk};
+use shalewall_http::head::{HeadParser, write_request, write_response};
 use shalewall_http::{Limits, sse};
 
 /// Method, target and fields.
@@ -29,11 +29,14 @@
     }
 }
 
-fn whole(mut body: Body, mut bytes: &[u8]) -> Result<Option<Vec<u8>>, shalewall_http::Bad> {
+fn whole(
+    mut body: BodyDecoder,
+    mut bytes: &[u8],
+) -> Result<Option<Vec<u8>>, shalewall_http::HttpError> {
     let mut content = Vec::new();
     loop {
         match body.next(bytes)? {
-            Piece::More => return Ok(None),
+            Piece::NeedMore => return Ok(None),
             Piece::End(_) => return Ok(Some(content)),
             Piece::Data(used, data) => {
                 content.extend_from_slice(data);
@@ -55,7 +58,7 @@
         let mut list = vec![("Host", "a")];
         list.extend(fields.iter().map(|(n, v)| (n.as_str(), v.as_str())));
         write_request(&mut out, &method, &target, &list);
-        let (head, used) = Finder::default().request(&out, &Limits::default()).unwrap().unwrap();
+        let (head, used) = HeadParser::default().parse_request(&out, &Limits::default()).unwrap().unwrap();
         prop_assert_eq!(used, out.len());
         prop_assert_eq!((&head.method, &head.target), (&method, &target));
         prop_assert_eq!(head.fields.len(), list.len());
@@ -66,11 +69,11 @@
             prop_assert!(head.fields.all(name).any(|v| v == value), "{} {:?}", name, value);
         }
         // However it is split, it is read once and the same.
-        let mut finder = Finder::default();
+        let mut finder = HeadParser::default();
         for at in 0..out.len() {
-            prop_assert!(finder.request(&out[..at], &Limits::default()).unwrap().is_none());
+            prop_assert!(finder.parse_request(&out[..at], &Limits::default()).unwrap().is_none());
         }
-        prop_assert!(finder.request(&out, &Limits::default()).unwrap().is_some());
+        prop_assert!(finder.parse_request(&out, &Limits::default()).unwrap().is_some());
     }
 
     #[test]
@@ -81,7 +84,7 @@
         let mut message = b"GET / HTTP/1.1\r\nHost: a\r\n".to_vec();
         message.extend_from_slice(&bytes);
         message.extend_from_slice(b"\r\n\r\n");
-        if let Ok(Some((head, used))) = Finder::default().request(&message, &Limits::default()) {
+        if let Ok(Some((head, used))) = HeadParser::default().parse_request(&message, &Limits::default()) {
             let theirs = theirs(&message);
             prop_assert!(theirs.is_some(), "accepted here only: {:?}", String::from_utf8_lossy(&message));
             let theirs = theirs.unwrap();
@@ -93,10 +96,10 @@
     #[test]
     fn random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let limits = Limits { head: 200, ..Limits::default() };
-        let _ = Finder::default().request(&bytes, &limits);
-        let _ = Finder::default().response(&bytes, &limits, false);
-        let _ = whole(Body::new(Framing::Chunked, &limits).unwrap(), &bytes);
-        let _ = sse::Reader::new(100).feed(&bytes, &mut Vec::new());
+        let _ = HeadParser::default().parse_request(&bytes, &limits);
+        let _ = HeadParser::default().parse_response(&bytes, &limits, false);
+        let _ = whole(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &bytes);
+        let _ = sse::Decoder::new(100).feed(&bytes, &mut Vec::new());
     }
 
     #[test]
@@ -105,10 +108,10 @@
         parts.iter().for_each(|p| write_chunk(&mut out, p));
         out.extend_from_slice(LAST_CHUNK);
         let limits = Limits::default();
-        let content = whole(Body::new(Framing::Chunked, &limits).unwrap(), &out).unwrap();
+        let content = whole(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &out).unwrap();
         prop_assert_eq!(content, Some(parts.concat()));
         for at in 0..out.len() {
-            prop_assert_eq!(whole(Body::new(Framing::Chunked, &limits).unwrap(), &out[..at]).unwrap(), None);
+            prop_assert_eq!(whole(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &out[..at]).unwrap(), None);
         }
     }
 
@@ -118,10 +121,10 @@
     ) {
         let mut out = Vec::new();
         for (kind, data) in &events {
-            sse::write(&mut out, kind, data);
-            out.extend_from_slice(sse::BEAT);
+            sse::write_event(&mut out, kind, data);
+            out.extend_from_slice(sse::KEEP_ALIVE);
         }
-        let (mut reader, mut got) = (sse::Reader::new(1000), Vec::new());
+        let (mut reader, mut got) = (sse::Decoder::new(1000), Vec::new());
         out.chunks(size).for_each(|part| reader.feed(part, &mut got).unwrap());
         let got: Vec<_> = got.into_iter().map(|e| (e.kind, e.data)).collect();
         prop_assert_eq!(got, events);
@@ -131,7 +134,7 @@
 #[test]
 fn responses_are_framed_by_their_status() {
     let read = |text: &str, bodiless| {
-        Finder::default().response(text.as_bytes(), &Limits::default(), bodiless)
+        HeadParser::default().parse_response(text.as_bytes(), &Limits::default(), bodiless)
     };
     let head = |text: &str| read(text, false).unwrap().unwrap().0;
     assert_eq!(
@@ -139,9 +142,9 @@
         Framing::Length(0)
     );
     assert_eq!(head("HTTP/1.1 200 OK\r\n\r\n").framing, Framing::ToClose);
-    assert!(!head("HTTP/1.1 200 OK\r\n\r\n").keep);
-    assert!(head("HTTP/1.1 200\r\nContent-Length: 4\r\n\r\n").keep);
-    assert!(!head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: Close\r\n\r\n").keep);
+    assert!(!head("HTTP/1.1 200 OK\r\n\r\n").keep_alive);
+    assert!(head("HTTP/1.1 200\r\nContent-Length: 4\r\n\r\n").keep_alive);
+    assert!(!head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: Close\r\n\r\n").keep_alive);
     for bad in [
         "HTTP/1.1 20 OK\r\n\r\n",
         "HTTP/2 200 OK\r\n\r\n",
--- a/crates/load-test/src/nodes.rs
+++ b/crates/load-test/src/nodes.rs
@@ -22,14 +22,14 @@
 /// A stream of this event and then of beats.
 fn events(first: &str, data: &str) -> Reply {
     let mut bytes = Vec::new();
-    sse::write(&mut bytes, first, data);
+    sse::write_event(&mut bytes, first, data);
     let beats = stream::unfold((), |()| async {
         Timer::after(Duration::from_millis(500)).await;
-        Some((sse::BEAT.to_vec(), ()))
+        Some((sse::KEEP_ALIVE.to_vec(), ()))
     });
     Reply::new(200)
-        .with("Content-Type", "text/event-stream")
-        .pieces(stream::once(bytes).chain(beats))
+        .with_field("Content-Type", "text/event-stream")
+        .stream(stream::once(bytes).chain(beats))
 }
 
 async fn node(request: Request) -> Reply {
@@ -37,10 +37,11 @@
     match (head.method.as_str(), head.path()) {
         ("PUT", path) => {
             let text = format!("{{\"media\":\"http://127.0.0.1:9{path}/media\"}}");
-            Reply::json(201, text).with("Shalewall-Load", "streams=5, link=0.1000, uplink=0.1000")
+            Reply::json(201, text)
+                .with_field("Shalewall-Load", "streams=5, link=0.1000, uplink=0.1000")
         }
         ("GET", "/events") => events("held", "[]"),
-        _ => Reply::new(204).with("Shalewall-Load", "streams=5, link=0.1000, uplink=0.1000"),
+        _ => Reply::new(204).with_field("Shalewall-Load", "streams=5, link=0.1000, uplink=0.1000"),
     }
 }
 
--- a/crates/platform-proto/src/rtsp/decoder.rs
+++ b/crates/platform-proto/src/rtsp/decoder.rs
@@ -4,7 +4,7 @@
 use crate::error::NodeProtocolError;
 use crate::{HexId, MAX_MESSAGE_BYTES, release_spare_capacity};
 use shalewall_http::Limits;
-use shalewall_http::head::{Fields, Finder, fields};
+use shalewall_http::head::{Fields, HeadParser, parse_fields};
 
 /// The longest first line.
 const MAX_START_LINE_BYTES: usize = 512;
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub struct RtspDecoder {
     buffer: Vec<u8>,
-    finder: Finder,
+    finder: HeadParser,
     /// A head whose content has not come whole.
     pending: Option<PendingMessage>,
 }
@@ -69,12 +69,12 @@
         };
         let found = self
             .finder
-            .find(&self.buffer, &limits)
+            .find_end(&self.buffer, &limits)
             .map_err(|_| NodeProtocolError::HeadTooLong)?;
         let Some(head_bytes) = found else {
             return Ok(None);
         };
-        self.finder = Finder::default();
+        self.finder = HeadParser::default();
         let (message, content_bytes) = parse_head(&self.buffer[..head_bytes], &limits)?;
         if head_bytes + content_bytes > MAX_MESSAGE_BYTES {
             return Err(NodeProtocolError::MessageTooLong);
@@ -121,8 +121,8 @@
 fn parse_head(bytes: &[u8], limits: &Limits) -> Result<(RtspMessage, usize), NodeProtocolError> {
     let line = first_line(bytes);
     let start = parse_start_line(line)?;
-    let fields =
-        fields(&bytes[line.len() + 1..], limits).map_err(|_| NodeProtocolError::MalformedField)?;
+    let fields = parse_fields(&bytes[line.len() + 1..], limits)
+        .map_err(|_| NodeProtocolError::MalformedField)?;
     let length = number(&fields, "Content-Length")?;
     let length = length.ok_or(NodeProtocolError::MissingContentLength)?;
     let cseq = number(&fields, "CSeq")?;
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -5,7 +5,7 @@
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use shalewall_clock::now;
-use shalewall_http::client::{Unconnected, in_time};
+use shalewall_http::client::{ConnectErrorKind, with_timeout};
 use shalewall_platform_proto::{ConnectError, ConnectionId, Transmit};
 use std::cell::Cell;
 use std::io::{self, ErrorKind, Read, Write};
@@ -27,7 +27,7 @@
     timeout: Duration,
     write_ready: Rc<Event>,
 ) {
-    let connected = in_time(timeout, Async::<TcpStream>::connect(address)).await;
+    let connected = with_timeout(timeout, Async::<TcpStream>::connect(address)).await;
     let connected = match connected {
         Some(Ok(stream)) => Ok(stream),
         Some(Err(error)) => Err(classify_connect_error(&error)),
@@ -47,10 +47,10 @@
 }
 
 fn classify_connect_error(error: &io::Error) -> ConnectError {
-    match Unconnected::of(error) {
-        Unconnected::Refused => ConnectError::Refused,
-        Unconnected::Own => ConnectError::LocalShortage,
-        Unconnected::Unknown => ConnectError::Unreachable,
+    match ConnectErrorKind::of(error) {
+        ConnectErrorKind::Refused => ConnectError::Refused,
+        ConnectErrorKind::LocalShortage => ConnectError::LocalShortage,
+        ConnectErrorKind::Unknown => ConnectError::Unreachable,
     }
 }
 
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -6,7 +6,7 @@
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use shalewall_clock::{now, to_duration};
-use shalewall_http::client::in_time;
+use shalewall_http::client::with_timeout;
 use shalewall_platform_proto::endpoint_watch::{FrameDecoder, SILENCE_TIMEOUT};
 use shalewall_platform_proto::error::EndpointWatchError;
 use std::cell::Cell;
@@ -137,7 +137,7 @@
             stream.write_all(&position.to_be_bytes()).await?;
             io::Result::Ok(stream)
         };
-        let connected = in_time(CONNECT_TIMEOUT, connect).await;
+        let connected = with_timeout(CONNECT_TIMEOUT, connect).await;
         let stream = connected
             .ok_or(WatchError::ConnectTimeout)?
             .map_err(WatchError::Connect)?;
@@ -156,7 +156,7 @@
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
             let remaining = silence_timeout.saturating_sub(self.last_frame_at.elapsed());
-            let read = in_time(remaining, self.stream.read(&mut buffer)).await;
+            let read = with_timeout(remaining, self.stream.read(&mut buffer)).await;
             let count = read.ok_or(WatchError::Silent)?.map_err(WatchError::Read)?;
             if count == 0 {
                 return Ok(());
--- a/crates/scripted-days/src/director_processes.rs
+++ b/crates/scripted-days/src/director_processes.rs
@@ -83,7 +83,7 @@
         let (sender, address) = async_channel::bounded(1);
         std::thread::spawn(move || copy_log(stderr, log, &sender));
         self.running.borrow_mut().insert(number, child);
-        let listening = shalewall_http::client::in_time(START_TIMEOUT, address.recv()).await;
+        let listening = shalewall_http::client::with_timeout(START_TIMEOUT, address.recv()).await;
         let Some(Ok(address)) = listening else {
             return Err(DayError::DirectorNotListening { number });
         };
--- a/crates/scripted-days/tests/wrong_front.rs
+++ b/crates/scripted-days/tests/wrong_front.rs
@@ -7,7 +7,7 @@
 use shalewall_audit::{Record, Rule, judge};
 use shalewall_emulator::recorder::Recorder;
 use shalewall_http::Limits;
-use shalewall_http::client::{Call, Connection, Events, in_time};
+use shalewall_http::client::{Call, Connection, EventStream, with_timeout};
 use shalewall_http::pool::Pool;
 use shalewall_http::server::{Reply, Request, serve};
 use shalewall_scripted_days::{Emulation, endpoint, rules};
@@ -56,7 +56,7 @@
     let (target, host) = (format!("/sessions/{session}/{attempt}"), node.to_string());
     let call = Call::new("PUT", &target, &host).json(body.as_bytes());
     let patience = Duration::from_millis(if waste { 5 } else { 3000 });
-    let answer = in_time(patience, pool.call(&call)).await?.ok()?;
+    let answer = with_timeout(patience, pool.call(&call)).await?.ok()?;
     let said: Value = serde_json::from_slice(&answer.body).ok()?;
     (answer.head.status == 201).then(|| said["media"].as_str().map(str::to_string))?
 }
@@ -108,7 +108,7 @@
     let call = Call::new("GET", "/servers?director=0", "list");
     let (_, incoming) = connection.stream(&call).await.unwrap();
     ex.spawn(async move {
-        let mut events = Events::new(incoming, 1 << 20);
+        let mut events = EventStream::new(incoming, 1 << 20);
         while events.next(Duration::from_secs(5)).await.is_some() {}
     })
     .detach();
--- a/crates/server/src/accept.rs
+++ b/crates/server/src/accept.rs
@@ -5,7 +5,7 @@
 use crate::tenants::Tenants;
 use crate::viewer_api::ViewerApi;
 use async_io::{Async, Timer};
-use shalewall_http::server::{serve, serve_at};
+use shalewall_http::server::{serve, serve_with_hooks};
 use std::cell::Cell;
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -77,7 +77,7 @@
         let limits = self.event_loop.director.limits.clone();
         let task = self.event_loop.executor().spawn(async move {
             let answer = |request| api.clone().answer(request);
-            serve_at(stream, &limits, &mut admitted, answer).await;
+            serve_with_hooks(stream, &limits, &mut admitted, answer).await;
         });
         connections.set_task(id, task);
     }
--- a/crates/server/src/admin_client.rs
+++ b/crates/server/src/admin_client.rs
@@ -1,7 +1,7 @@
 //! The administration API as a director calls it.
 
 use shalewall_http::Limits;
-use shalewall_http::client::{Call, Failure, Response, in_time};
+use shalewall_http::client::{Call, CallError, Response, with_timeout};
 use shalewall_http::pool::Pool;
 use shalewall_settings::Hosting;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     TimedOut,
     /// No complete answer came.
     #[error("{0}")]
-    Failed(Failure),
+    Failed(CallError),
     /// The API did not do it.
     #[error("status {0}")]
     Status(u16),
@@ -68,7 +68,7 @@
     async fn call(&self, call: Call<'_>, timeout: Duration) -> Result<Response, AdminCallError> {
         let fields = [("Authorization", self.authorization.as_str())];
         let call = call.fields(&fields);
-        let answer = in_time(timeout, self.pool.call(&call)).await;
+        let answer = with_timeout(timeout, self.pool.call(&call)).await;
         let answer = answer.ok_or(AdminCallError::TimedOut)?;
         let answer = answer.map_err(AdminCallError::Failed)?;
         match answer.head.status {
--- a/crates/server/src/connections.rs
+++ b/crates/server/src/connections.rs
@@ -3,9 +3,9 @@
 
 use crate::tenants::Tenants;
 use async_executor::Task;
-use shalewall_http::Bad;
+use shalewall_http::HttpError;
 use shalewall_http::head::RequestHead;
-use shalewall_http::server::Gate;
+use shalewall_http::server::ConnectionHooks;
 use shalewall_tenancy::connections::{AssignError, ConnectionId};
 use shalewall_tenancy::tenant::TenantId;
 use std::cell::RefCell;
@@ -61,7 +61,7 @@
 
 impl AdmittedConnection {
     /// Books the connection for the tenant that a head names.
-    fn assign(&self, tenant: &TenantId) -> Result<(), Bad> {
+    fn assign(&self, tenant: &TenantId) -> Result<(), HttpError> {
         let tenants = &self.connections.tenants;
         let assigned = tenants.connections().assign(self.id, tenant);
         match assigned {
@@ -70,8 +70,10 @@
                 Ok(())
             }
             Err(AssignError::UnknownTenant) => Err(unknown_tenant()),
-            Err(AssignError::TenantLimit) => Err(Bad::new(503, "above the tenant's connections")),
-            Err(AssignError::Quota) => Err(Bad::new(
+            Err(AssignError::TenantLimit) => {
+                Err(HttpError::new(503, "above the tenant's connections"))
+            }
+            Err(AssignError::Quota) => Err(HttpError::new(
                 503,
                 "the front is full, and the tenant has its part",
             )),
@@ -79,12 +81,12 @@
     }
 }
 
-fn unknown_tenant() -> Bad {
-    Bad::new(404, "tenant is not known here")
+fn unknown_tenant() -> HttpError {
+    HttpError::new(404, "tenant is not known here")
 }
 
-impl Gate for AdmittedConnection {
-    fn head(&mut self, head: &RequestHead, size: usize) -> Result<usize, Bad> {
+impl ConnectionHooks for AdmittedConnection {
+    fn on_request_head(&mut self, head: &RequestHead, size: usize) -> Result<usize, HttpError> {
         let Some(name) = head.fields.get(TENANT_FIELD) else {
             return Ok(usize::MAX);
         };
@@ -100,16 +102,16 @@
             return Err(unknown_tenant());
         };
         if limits.head_bytes.is_some_and(|most| size > most as usize) {
-            return Err(Bad::new(431, "the head is above the tenant's limit"));
+            return Err(HttpError::new(431, "the head is above the tenant's limit"));
         }
         Ok(limits.body_bytes.map_or(usize::MAX, |most| most as usize))
     }
 
-    fn whole(&mut self) {
+    fn on_request_complete(&mut self) {
         self.connections.tenants.connections().mark_busy(self.id);
     }
 
-    fn idle(&mut self) {
+    fn on_idle(&mut self) {
         self.connections.tenants.connections().mark_idle(self.id);
     }
 }
--- a/crates/server/src/endpoint_list.rs
+++ b/crates/server/src/endpoint_list.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use shalewall::{EndpointState, EndpointUpdate, ServerId, Timestamp};
 use shalewall_engine::{EndpointEntry, Input};
-use shalewall_http::client::{Call, Events, in_time};
+use shalewall_http::client::{Call, EventStream, with_timeout};
 use shalewall_http::pool::Pool;
 use std::net::{AddrParseError, SocketAddr};
 use std::rc::Rc;
@@ -119,11 +119,11 @@
     let call = Call::new("GET", &target, &host);
     loop {
         let opening = async { pool.connect().await?.stream(&call).await };
-        if let Some(Ok((head, incoming))) = in_time(timeout, opening).await
+        if let Some(Ok((head, incoming))) = with_timeout(timeout, opening).await
             && head.status == 200
         {
             info!("endpoint list connected");
-            let mut events = Events::new(incoming, MAX_EVENT_BYTES);
+            let mut events = EventStream::new(incoming, MAX_EVENT_BYTES);
             while let Some(batch) = events.next(timeout).await {
                 for event in batch {
                     pass_on_update(&event.kind, &event.data, &sink);
--- a/crates/server/src/node/calls.rs
+++ b/crates/server/src/node/calls.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use shalewall::{LoadReport, ServerId, SessionId};
 use shalewall_engine::{CallKind, CallResult};
-use shalewall_http::client::{Call, Failure, Response, Unconnected};
+use shalewall_http::client::{Call, CallError, ConnectErrorKind, Response};
 use shalewall_http::head::Fields;
 use shalewall_migration::ticket::{TicketKey, Validity};
 
@@ -31,11 +31,13 @@
     };
     match connections.pool.call(&call).await {
         Ok(response) => answered(&response),
-        Err(Failure::NotConnected(Unconnected::Own, reason)) => CallResult::NotSent(reason),
-        Err(Failure::NotConnected(_, reason) | Failure::NeverRan(reason)) => {
+        Err(CallError::NotConnected(ConnectErrorKind::LocalShortage, reason)) => {
+            CallResult::NotSent(reason)
+        }
+        Err(CallError::NotConnected(_, reason) | CallError::NotExecuted(reason)) => {
             CallResult::NotStarted(reason)
         }
-        Err(Failure::MayHaveRun(reason)) => CallResult::MaybeExecuted(reason),
+        Err(CallError::MaybeExecuted(reason)) => CallResult::MaybeExecuted(reason),
     }
 }
 
--- a/crates/server/src/node/events.rs
+++ b/crates/server/src/node/events.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use shalewall::{ServerId, SessionId, Timestamp};
 use shalewall_engine::{Input, NodeEvent, SessionAttempt, TransferredSession};
-use shalewall_http::client::{Call, Events, Failure, Unconnected, in_time};
+use shalewall_http::client::{Call, CallError, ConnectErrorKind, EventStream, with_timeout};
 use shalewall_migration::Epoch;
 use shalewall_migration::node::SessionEpochs;
 use std::rc::Rc;
@@ -61,11 +61,13 @@
     let server = connections.server;
     let timeout = director.stream_timeout;
     let requested_at = shalewall_clock::now();
-    let connection = match in_time(timeout, connections.pool.connect()).await {
+    let connection = match with_timeout(timeout, connections.pool.connect()).await {
         None => return StreamEnd::Failed,
         Some(Ok(connection)) => connection,
         // Only this is proof. Out of descriptors, or without a route, a director knows nothing of its nodes.
-        Some(Err(Failure::NotConnected(Unconnected::Refused, _))) => return StreamEnd::Refused,
+        Some(Err(CallError::NotConnected(ConnectErrorKind::Refused, _))) => {
+            return StreamEnd::Refused;
+        }
         Some(Err(error)) => {
             debug!(server = server.0, %error, "node event stream not connected");
             return StreamEnd::Failed;
@@ -73,7 +75,7 @@
     };
     let target = format!("/events?director={}", director.number);
     let call = Call::new("GET", &target, &connections.host);
-    let Some(Ok((head, incoming))) = in_time(timeout, connection.stream(&call)).await else {
+    let Some(Ok((head, incoming))) = with_timeout(timeout, connection.stream(&call)).await else {
         return StreamEnd::Failed;
     };
     if head.status != 200 {
@@ -81,7 +83,7 @@
         warn!(server = server.0, status, "node event stream refused");
         return StreamEnd::Failed;
     }
-    let mut events = Events::new(incoming, MAX_EVENT_BYTES);
+    let mut events = EventStream::new(incoming, MAX_EVENT_BYTES);
     while let Some(batch) = events.next(timeout).await {
         for event in batch {
             if event.kind != "held" {
--- a/crates/server/src/player_events.rs
+++ b/crates/server/src/player_events.rs
@@ -43,12 +43,12 @@
     async fn next_bytes(&self) -> Option<Vec<u8>> {
         let keep_alive = async {
             Timer::after(KEEP_ALIVE_INTERVAL).await;
-            Some(sse::BEAT.to_vec())
+            Some(sse::KEEP_ALIVE.to_vec())
         };
         let event = async {
             let event = self.events.recv().await.ok()?;
             let mut bytes = Vec::new();
-            sse::write(&mut bytes, event.kind, &event.data);
+            sse::write_event(&mut bytes, event.kind, &event.data);
             Some(bytes)
         };
         future::or(event, keep_alive).await
@@ -80,10 +80,10 @@
         let bytes = open_stream.next_bytes().await?;
         Some((bytes, open_stream))
     });
-    let pieces = stream::once(sse::BEAT.to_vec()).chain(events);
+    let pieces = stream::once(sse::KEEP_ALIVE.to_vec()).chain(events);
     Reply::new(200)
-        .with("Content-Type", "text/event-stream")
-        .pieces(pieces)
+        .with_field("Content-Type", "text/event-stream")
+        .stream(pieces)
 }
 
 /// The content of `playing` and `declined`.
--- a/crates/server/src/viewer_api.rs
+++ b/crates/server/src/viewer_api.rs
@@ -147,7 +147,7 @@
         } => {
             let body = json!({ "session": session.0, "rung": rung, "media": media });
             let location = format!("/sessions/{}", session.0);
-            Reply::json(201, body.to_string()).with("Location", location)
+            Reply::json(201, body.to_string()).with_field("Location", location)
         }
         Answer::Rejected {
             session,
@@ -173,7 +173,7 @@
     let reply = problem(503, "turned away, free to come back", session, retry_after);
     match retry_after {
         // The field has whole seconds; the exact time is in the body.
-        Some(after) => reply.with(
+        Some(after) => reply.with_field(
             "Retry-After",
             ((after.as_micros() + 999_999) / 1_000_000).to_string(),
         ),
