--- a/crates/scripted-days/src/rules.rs
+++ b/crates/scripted-days/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules of a day as the auditor wants them.
 
 use shalewall_audit::{ClassRule, Placement, RetryBudget, Rules, TimeDelta};
-use shalewall_settings::{Class, DayPlan, Title, us};
+use shalewall_settings::{Class, DayPlan, Title, micros_from_millis};
 use std::collections::BTreeMap;
 
 /// What may be seen later, or in another order, than it was sent: loopback, and turns of busy processes.
@@ -45,7 +45,7 @@
 }
 
 fn length(millis: f64) -> TimeDelta {
-    TimeDelta::from_micros(us(millis))
+    TimeDelta::from_micros(micros_from_millis(millis))
 }
 
 fn placement(title: &Title) -> Placement {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -34,4 +34,4 @@
 pub use site::capacity::{Layout, Link, MachineKind, Notifications, Title};
 pub use site::policy::{Costs, Limits, RetryBudget, Rules};
 pub use site::traffic::{Class, LadderRung, Tenant};
-pub use units::us;
+pub use units::micros_from_millis;
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -5,7 +5,7 @@
 use shalewall::TimeDelta;
 use shalewall_fleet_model::fleet::{FleetParameters, Machine};
 use shalewall_fleet_model::population::{Class, ViewerPopulation};
-use shalewall_settings::{DayPlan, us};
+use shalewall_settings::{DayPlan, micros_from_millis};
 use std::time::Duration;
 
 fn ms(ms: f64) -> Duration {
@@ -25,14 +25,14 @@
     };
     let physics = FleetParameters {
         rate_deviation: fleet.rate_deviation,
-        setup_time: TimeDelta::from_micros(us(fleet.set_up_ms)),
-        report_interval: TimeDelta::from_micros(us(fleet.load_refresh_ms).max(1)),
+        setup_time: TimeDelta::from_micros(micros_from_millis(fleet.set_up_ms)),
+        report_interval: TimeDelta::from_micros(micros_from_millis(fleet.load_refresh_ms).max(1)),
         report_noise: fleet.load_noise,
         rejection_threshold: fleet.reject_above,
-        warm_up: TimeDelta::from_micros(us(site.rules.warm_up_ms)),
+        warm_up: TimeDelta::from_micros(micros_from_millis(site.rules.warm_up_ms)),
         initial_capacity: site.rules.initial_capacity,
         overload_factor: site.rules.overload_factor,
-        overload_window: TimeDelta::from_micros(us(site.rules.overload_window_ms)),
+        overload_window: TimeDelta::from_micros(micros_from_millis(site.rules.overload_window_ms)),
         uplinks_kb_s: match &fleet.uplinks_kb_s[..] {
             [] => (0..racks)
                 .map(|_| fleet.uplink_kb_s * stray(fleet.link_deviation))
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -21,7 +21,7 @@
 use shalewall_fleet_model::notifications::{Notification, Notifier};
 use shalewall_fleet_model::population::{Class, DrawnViewer, Interest, ViewerPopulation};
 use shalewall_fleet_model::totals::ViewerTotals;
-use shalewall_settings::{DayPlan, Fault, FaultKind, Front, us};
+use shalewall_settings::{DayPlan, Fault, FaultKind, Front, micros_from_millis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -159,7 +159,7 @@
         }
     }
     let mut world = World::new(plan, policy);
-    let end = us(plan.day.seconds * 1000.0);
+    let end = micros_from_millis(plan.day.seconds * 1000.0);
     while let Some(((at, _), _)) = world.queue.first_key_value().map(|(k, _)| (*k, ())) {
         let timer = world.timers.first().copied();
         if at.min(timer.map_or(at, |(t, _)| t)) >= end {
@@ -205,8 +205,8 @@
             crowd,
             fleet: Fleet::new(physics, seed ^ 1),
             teller: Notifier::new(
-                TimeDelta::from_micros(us(notes.interval_ms)),
-                TimeDelta::from_micros(us(notes.delay_ms)),
+                TimeDelta::from_micros(micros_from_millis(notes.interval_ms)),
+                TimeDelta::from_micros(micros_from_millis(notes.delay_ms)),
             ),
             arrivals: plan::arrivals(plan),
             dice: ChaCha8Rng::seed_from_u64(seed ^ 3),
@@ -244,7 +244,10 @@
         world.later(0, Due::Look);
         (0..world.arrivals.len()).for_each(|stream| world.later(0, Due::Arrive(stream)));
         for i in 0..world.troubles.len() {
-            world.later(us(world.troubles[i].start_s * 1000.0), Due::Begins(i));
+            world.later(
+                micros_from_millis(world.troubles[i].start_s * 1000.0),
+                Due::Begins(i),
+            );
         }
         world
     }
@@ -615,7 +618,7 @@
         let machine = self.fleet.nodes[&node].machine.clone();
         let line = line(&machine, standing, came_up);
         self.listed.insert(node, line.clone());
-        let late = us(self.plan.fleet.list_delay_ms);
+        let late = micros_from_millis(self.plan.fleet.list_delay_ms);
         for d in 0..self.engines.len() {
             let lines = vec![line.clone()];
             self.later(
--- a/crates/simulation/src/world/troubles.rs
+++ b/crates/simulation/src/world/troubles.rs
@@ -61,7 +61,10 @@
             }
             _ => {}
         }
-        self.later(us(trouble.duration_s * 1000.0), Due::Ends(i, met));
+        self.later(
+            micros_from_millis(trouble.duration_s * 1000.0),
+            Due::Ends(i, met),
+        );
     }
 
     pub(super) fn trouble_ends(&mut self, i: usize, met: Vec<u64>) {
--- a/crates/simulation/src/world/viewers.rs
+++ b/crates/simulation/src/world/viewers.rs
@@ -38,8 +38,9 @@
         let viewer = self.viewers.len();
         let until = self.now + span;
         let tenant = tenant.map(|(name, _)| name);
-        let within =
-            Duration::from_micros((us(self.plan.day.seconds * 1000.0) - self.now).max(0) as u64);
+        let within = Duration::from_micros(
+            (micros_from_millis(self.plan.day.seconds * 1000.0) - self.now).max(0) as u64,
+        );
         let wanted = self.crowd.worth_offered(&person, within);
         let new = Viewer {
             person,
