--- a/crates/behavior-digest/src/decisions.rs
+++ b/crates/behavior-digest/src/decisions.rs
@@ -667,7 +667,7 @@
     }
 
     fn encode_beliefs(&mut self) {
-        for belief in self.director.beliefs() {
+        for belief in self.director.server_estimates() {
             self.encoder.u64(belief.server.0);
             self.encoder.f64(belief.link_utilization);
             self.encoder.f64(belief.uplink_utilization);
--- a/crates/platform-proto/src/director_protocol/mod.rs
+++ b/crates/platform-proto/src/director_protocol/mod.rs
@@ -212,7 +212,7 @@
         Status::new(
             self.session_counts(),
             self.connection_counts(),
-            self.director.beliefs(),
+            self.director.server_estimates(),
             counters,
             tally,
         )
--- a/crates/platform-proto/src/status.rs
+++ b/crates/platform-proto/src/status.rs
@@ -3,7 +3,7 @@
 use crate::connection_reasons::{CloseReason, ConnectReason};
 use crate::node_connections::ConnectionTally;
 use crate::session_table::SessionCounts;
-use shalewall::{Outcome, ServerBelief, TimeDelta};
+use shalewall::{Outcome, ServerEstimate, TimeDelta};
 use std::fmt::Debug;
 
 /// So many of the fullest servers are named.
@@ -74,7 +74,7 @@
     pub(crate) fn new(
         sessions: SessionCounts,
         connections: ConnectionCounts,
-        beliefs: impl Iterator<Item = ServerBelief>,
+        beliefs: impl Iterator<Item = ServerEstimate>,
         counters: StatusCounters,
         tally: ConnectionTally,
     ) -> Status {
@@ -92,9 +92,9 @@
     }
 }
 
-fn describe_fullest(beliefs: impl Iterator<Item = ServerBelief>) -> String {
-    let mut servers: Vec<ServerBelief> = beliefs.collect();
-    let fullest = |belief: &ServerBelief| belief.link_utilization.max(belief.uplink_utilization);
+fn describe_fullest(beliefs: impl Iterator<Item = ServerEstimate>) -> String {
+    let mut servers: Vec<ServerEstimate> = beliefs.collect();
+    let fullest = |belief: &ServerEstimate| belief.link_utilization.max(belief.uplink_utilization);
     servers.sort_by(|a, b| fullest(b).total_cmp(&fullest(a)));
     let described: Vec<String> = servers
         .iter()
@@ -104,7 +104,7 @@
     described.join(", ")
 }
 
-fn describe_belief(belief: &ServerBelief) -> String {
+fn describe_belief(belief: &ServerEstimate) -> String {
     let mut text = format!(
         "s-{:08x} {:.2}/{:.2}",
         belief.server.0, belief.link_utilization, belief.uplink_utilization
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -55,21 +55,21 @@
 
 #![deny(missing_docs)]
 
-mod belief;
 mod director;
 mod hash;
 #[doc(hidden)]
 pub mod inspection;
 mod interface;
 mod policy;
+mod server_estimate;
 mod state;
 mod time;
 
-pub use belief::ServerBelief;
 pub use director::Director;
 pub use interface::{
     Action, ClassSettings, Endpoint, EndpointState, EndpointUpdate, Event, Idempotency, Limits, LoadReport,
     Micros, Notification, Outcome, Request, RetryBudget, RuleSettings, Rung, ServerId, SessionId, Settings,
     TenantSettings, TitleId,
 };
+pub use server_estimate::ServerEstimate;
 pub use time::{TimeDelta, Timestamp};
--- a/src/belief.rs
+++ b/src/server_estimate.rs
@@ -5,7 +5,7 @@
 
 /// What is believed of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServerBelief {
+pub struct ServerEstimate {
     /// The server.
     pub server: ServerId,
     /// Rates asked of its link, as a fraction of the link's capacity.
@@ -22,8 +22,8 @@
 
 impl Director {
     /// What is believed of each listed server, by id.
-    pub fn beliefs(&self) -> impl Iterator<Item = ServerBelief> + '_ {
-        self.servers.values().map(|server| ServerBelief {
+    pub fn server_estimates(&self) -> impl Iterator<Item = ServerEstimate> + '_ {
+        self.servers.values().map(|server| ServerEstimate {
             server: server.endpoint.server,
             link_utilization: self.link_utilization(server),
             uplink_utilization: self.uplink_utilization(server),
