--- a/crates/settings/src/day/load.rs
+++ b/crates/settings/src/day/load.rs
@@ -69,7 +69,7 @@
 
 impl Load {
     /// From how long to how long sessions of a class last.
-    pub fn lasts(&self, class: &str) -> (Duration, Duration) {
+    pub fn session_length_range(&self, class: &str) -> (Duration, Duration) {
         let (shortest, longest) = self
             .length_s_by_class
             .get(class)
--- a/crates/settings/tests/stored_forms.rs
+++ b/crates/settings/tests/stored_forms.rs
@@ -112,7 +112,7 @@
     assert_eq!(plan.faults["preempt"].waves, 2);
     assert_eq!(plan.faults["crash"].waves, 1);
     assert!(plan.faults["zone loss"].directors);
-    let (shortest, longest) = plan.load.lasts("call");
+    let (shortest, longest) = plan.load.session_length_range("call");
     assert_eq!((shortest.as_secs(), longest.as_secs()), (2, 9));
 }
 
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -81,7 +81,7 @@
     let (site, load) = (&plan.site, &plan.load);
     let class = |(name, part): (&String, &f64)| {
         let c = &site.classes[name];
-        let (shortest, longest) = load.lasts(name);
+        let (shortest, longest) = load.session_length_range(name);
         Class {
             name: name.clone(),
             fraction: *part,
