--- a/crates/scripted-days/src/director_processes.rs
+++ b/crates/scripted-days/src/director_processes.rs
@@ -7,7 +7,7 @@
 use shalewall_audit::Record;
 use shalewall_emulator::recorder::Recorder;
 use shalewall_emulator::viewers::Viewers;
-use shalewall_settings::{DayPlan, Front, Hosting, ServerConfig};
+use shalewall_settings::{DayPlan, DirectorSettings, Hosting, ServerConfig};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -163,10 +163,10 @@
     }
 }
 
-fn director_settings(plan: &DayPlan, emulation: &Emulation, number: u32) -> Front {
+fn director_settings(plan: &DayPlan, emulation: &Emulation, number: u32) -> DirectorSettings {
     let zones = &plan.site.zones;
     let hosted = plan.hosted.as_ref();
-    Front {
+    DirectorSettings {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         endpoint_list: emulation.list_address,
         number,
--- a/crates/server/tests/scripted/mod.rs
+++ b/crates/server/tests/scripted/mod.rs
@@ -3,7 +3,7 @@
 
 use async_executor::LocalExecutor;
 use rustix::net::sockopt::set_socket_linger;
-use shalewall_settings::{DayPlan, Front, ServerConfig, read};
+use shalewall_settings::{DayPlan, DirectorSettings, ServerConfig, read};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -239,7 +239,7 @@
         (title.first_cell, title.replica_cells) = (0, nodes.len() as u64);
     }
     let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
-    let front = Front {
+    let front = DirectorSettings {
         listen: "127.0.0.1:0".parse().unwrap(),
         endpoint_list: list(&addresses),
         number: 0,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -29,7 +29,7 @@
 pub use load::{SettingsFile, parse, read};
 pub use moves::Moves;
 pub use rule::{Rule, Violation};
-pub use server::{Front, Hosting, ServerConfig};
+pub use server::{DirectorSettings, Hosting, ServerConfig};
 pub use site::Site;
 pub use site::capacity::{Layout, Link, MachineKind, Notifications, Title};
 pub use site::policy::{Costs, Limits, RetryBudget, Rules};
--- a/crates/settings/src/server.rs
+++ b/crates/settings/src/server.rs
@@ -14,7 +14,7 @@
 pub struct ServerConfig {
     /// The director itself.
     #[garde(dive)]
-    pub front: Front,
+    pub front: DirectorSettings,
     /// Absent: the director is not shared by tenants.
     #[garde(dive)]
     pub hosting: Option<Hosting>,
@@ -26,7 +26,7 @@
 /// One director of the service.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Front {
+pub struct DirectorSettings {
     /// Where viewers reach it; port 0 takes a free one.
     #[garde(skip)]
     pub listen: SocketAddr,
--- a/crates/settings/src/site/module_settings.rs
+++ b/crates/settings/src/site/module_settings.rs
@@ -5,7 +5,7 @@
 use super::policy::RetryBudget;
 use super::traffic::{Class, Tenant};
 use crate::moves::Moves;
-use crate::server::Front;
+use crate::server::DirectorSettings;
 use crate::units::from_millis;
 use shalewall::{
     ClassSettings, Idempotency, RuleSettings, Rung, Settings, TenantSettings, TimeDelta,
@@ -25,7 +25,7 @@
     }
 
     /// What the engine of one director is told. `incarnation` distinguishes this start of the director from others.
-    pub fn config(&self, front: &Front, incarnation: u16) -> Config {
+    pub fn config(&self, front: &DirectorSettings, incarnation: u16) -> Config {
         let titles = self.titles.iter();
         Config {
             seed: front.seed,
@@ -44,7 +44,7 @@
     }
 
     /// What the module of one director is told.
-    pub fn settings(&self, front: &Front) -> Settings {
+    pub fn settings(&self, front: &DirectorSettings) -> Settings {
         let highest_rung = self.ladder.len().saturating_sub(1);
         let classes = self.classes.values();
         let all_shares: f64 = self.tenants.values().map(|tenant| tenant.share).sum();
@@ -80,7 +80,7 @@
         }
     }
 
-    fn zone_index(&self, front: &Front) -> Option<usize> {
+    fn zone_index(&self, front: &DirectorSettings) -> Option<usize> {
         let zone = front.zone.as_ref()?;
         self.zones.iter().position(|name| name == zone)
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -21,7 +21,7 @@
 use shalewall_fleet_model::notifications::{Notification, Notifier};
 use shalewall_fleet_model::population::{Class, DrawnViewer, Interest, ViewerPopulation};
 use shalewall_fleet_model::totals::ViewerTotals;
-use shalewall_settings::{DayPlan, Fault, FaultKind, Front, micros_from_millis};
+use shalewall_settings::{DayPlan, DirectorSettings, Fault, FaultKind, micros_from_millis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -760,9 +760,9 @@
     }
 }
 
-fn front(plan: &DayPlan, number: u32) -> Front {
+fn front(plan: &DayPlan, number: u32) -> DirectorSettings {
     let zones = &plan.site.zones;
-    Front {
+    DirectorSettings {
         listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
         endpoint_list: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
         number,
