--- a/crates/server/tests/following.rs
+++ b/crates/server/tests/following.rs
@@ -19,7 +19,7 @@
         let file = dir.path().join("move.key");
         std::fs::write(&file, "5a".repeat(32)).unwrap();
         let text = "moves {}";
-        let found: std::collections::BTreeMap<String, shalewall_settings::Moves> =
+        let found: std::collections::BTreeMap<String, shalewall_settings::MigrationSettings> =
             hcl::from_str(text).unwrap();
         plan.site.moves = found.into_values().next();
         plan.front.ticket_key_file = Some(file);
@@ -112,7 +112,7 @@
     let dir = tempfile::tempdir().unwrap();
     let node = Node::start(&[]);
     let mut plan = plan(&[&node]);
-    let found: std::collections::BTreeMap<String, shalewall_settings::Moves> =
+    let found: std::collections::BTreeMap<String, shalewall_settings::MigrationSettings> =
         hcl::from_str("moves {}").unwrap();
     plan.site.moves = found.into_values().next();
     for text in [None, Some(""), Some("5a5a"), Some("not hexadecimal")] {
--- a/crates/settings/src/moves.rs
+++ b/crates/settings/src/migration.rs
@@ -8,7 +8,7 @@
 /// When sessions may be handed over to another node while they play. Absent in a site: never.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Moves {
+pub struct MigrationSettings {
     /// A move takes about so long: a player that hears nothing waits while its buffer lasts longer. Half of it is what
     /// a target has to be ready within.
     #[garde(range(min = 50.0, max = 60_000.0))]
@@ -60,7 +60,7 @@
     1.0
 }
 
-impl Moves {
+impl MigrationSettings {
     /// As the engine is told.
     pub(crate) fn policy(&self) -> MigrationPolicy {
         MigrationPolicy {
--- a/crates/settings/src/rule.rs
+++ b/crates/settings/src/rule.rs
@@ -45,7 +45,7 @@
     },
     /// Sessions may be moved, but there is no key for the tickets.
     #[error("is needed where the site has moves")]
-    MoveKeyMissing,
+    TicketKeyMissing,
     /// A zone that the site doesn't have.
     #[error("is none of the site's zones: {known}")]
     UnknownZone {
--- a/crates/settings/src/server.rs
+++ b/crates/settings/src/server.rs
@@ -109,7 +109,10 @@
             ));
         }
         if self.site.moves.is_some() && self.front.ticket_key_file.is_none() {
-            violations.push(Violation::new("front.move_key_file", Rule::MoveKeyMissing));
+            violations.push(Violation::new(
+                "front.move_key_file",
+                Rule::TicketKeyMissing,
+            ));
         }
         if let Some(zone) = &self.front.zone
             && !self.site.zones.contains(zone)
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -9,7 +9,7 @@
 pub mod traffic;
 mod violations;
 
-use crate::moves::Moves;
+use crate::migration::MigrationSettings;
 use capacity::{Layout, Link, MachineKind, Notifications, Title};
 use garde::Validate;
 use policy::{Costs, Limits, Rules};
@@ -62,7 +62,7 @@
     pub limits: Limits,
     /// Absent: sessions stay where they play.
     #[garde(dive)]
-    pub moves: Option<Moves>,
+    pub moves: Option<MigrationSettings>,
     /// Titles by name.
     #[garde(dive, length(min = 1))]
     #[serde(rename = "title")]
--- a/crates/settings/src/site/module_settings.rs
+++ b/crates/settings/src/site/module_settings.rs
@@ -4,7 +4,7 @@
 use super::capacity::Title;
 use super::policy::RetryBudget;
 use super::traffic::{Class, Tenant};
-use crate::moves::Moves;
+use crate::migration::MigrationSettings;
 use crate::server::DirectorSettings;
 use crate::units::from_millis;
 use shalewall::{
@@ -39,7 +39,7 @@
                 .collect(),
             max_sessions: front.max_sessions,
             incarnation,
-            migration: self.moves.as_ref().map(Moves::policy),
+            migration: self.moves.as_ref().map(MigrationSettings::policy),
         }
     }
 
