--- a/crates/scripted-days/src/emulation.rs
+++ b/crates/scripted-days/src/emulation.rs
@@ -125,7 +125,7 @@
         late: millis(plan.site.notifications.delay_ms),
         fraction: plan.day.media_fraction,
         key: move_key.map(|move_key| move_key.key.clone()),
-        loads: plan.load.following_fraction > 0.0,
+        loads: plan.load.migratable_fraction > 0.0,
     }
 }
 
--- a/crates/scripted-days/src/host_resources.rs
+++ b/crates/scripted-days/src/host_resources.rs
@@ -25,7 +25,7 @@
     let mean_length_s = (load.max_length_s + load.min_length_s) / 2.0;
     let playing = load.per_s * mean_length_s.min(plan.day.seconds) * rate_factor;
     // A viewer that plays has two ends of its stream here, and one that follows an end of its director's.
-    let for_viewers = (playing * (2.0 + load.following_fraction)).ceil() as u64;
+    let for_viewers = (playing * (2.0 + load.migratable_fraction)).ceil() as u64;
     for_nodes + for_viewers + directors + SPARE_DESCRIPTORS
 }
 
--- a/crates/scripted-days/src/import/load.rs
+++ b/crates/scripted-days/src/import/load.rs
@@ -24,7 +24,7 @@
     let mean_s = family.at("life_s").number()? * relative_length;
     let per_s = day.at("traffic").at("load").number()? * family.at("capacity").number()?;
     Ok(Load {
-        following_fraction: 0.0,
+        migratable_fraction: 0.0,
         live_buffer_ms: 1000.0,
         recorded_buffer_ms: 4000.0,
         tenant_rates: BTreeMap::new(),
--- a/crates/scripted-days/src/run.rs
+++ b/crates/scripted-days/src/run.rs
@@ -49,7 +49,7 @@
     recorder.flush()?;
     let records = shalewall_audit::read(out)?;
     let verdict = judge(&records, &rules);
-    let moves = (plan.load.following_fraction > 0.0).then(|| review_migrations(&records, &rules));
+    let moves = (plan.load.migratable_fraction > 0.0).then(|| review_migrations(&records, &rules));
     let summary = Summary::new(&played.count, &verdict, moves, &played.shortfall);
     let summary_text = serde_json::to_string_pretty(&summary)?;
     std::fs::write(out.join("summary.json"), summary_text)?;
--- a/crates/settings/src/day/load.rs
+++ b/crates/settings/src/day/load.rs
@@ -56,7 +56,7 @@
     /// Part of the viewers whose players have a buffer and can be offered another node.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default, rename = "follow")]
-    pub following_fraction: f64,
+    pub migratable_fraction: f64,
     /// What such a player keeps in its buffer of a live title.
     #[garde(range(min = 100.0, max = 60_000.0))]
     #[serde(default = "live_buffer")]
