--- a/crates/platform-proto/src/status.rs
+++ b/crates/platform-proto/src/status.rs
@@ -3,7 +3,7 @@
 use crate::connection_reasons::{CloseReason, ConnectReason};
 use crate::node_connections::ConnectionTally;
 use crate::session_table::SessionCounts;
-use shalewall::{Outcome, ServerBelief, TimeDelta};
+use shalewall::{Outcome, ServerEstimate, TimeDelta};
 use std::fmt::Debug;
 
 /// Number of servers that the status names.
@@ -75,14 +75,14 @@
     pub(crate) fn new(
         sessions: SessionCounts,
         connections: ConnectionCounts,
-        beliefs: impl Iterator<Item = ServerBelief>,
+        estimates: impl Iterator<Item = ServerEstimate>,
         counters: StatusCounters,
         tally: ConnectionTally,
     ) -> Status {
         Status {
             sessions,
             connections,
-            fullest_servers: describe_fullest_servers(beliefs),
+            fullest_servers: describe_fullest_servers(estimates),
             ended: describe_counts(counters.ended),
             connections_opened: describe_counts::<ConnectReason>(tally.opened),
             connections_closed: describe_counts::<CloseReason>(tally.closed),
@@ -93,32 +93,32 @@
     }
 }
 
-fn describe_fullest_servers(beliefs: impl Iterator<Item = ServerBelief>) -> String {
-    let mut servers: Vec<ServerBelief> = beliefs.collect();
+fn describe_fullest_servers(estimates: impl Iterator<Item = ServerEstimate>) -> String {
+    let mut servers: Vec<ServerEstimate> = estimates.collect();
     let highest_utilization =
-        |belief: &ServerBelief| belief.link_utilization.max(belief.uplink_utilization);
+        |estimate: &ServerEstimate| estimate.link_utilization.max(estimate.uplink_utilization);
     servers.sort_by(|a, b| highest_utilization(b).total_cmp(&highest_utilization(a)));
     let described: Vec<String> = servers
         .iter()
         .take(MAX_NAMED_SERVERS)
-        .map(describe_belief)
+        .map(describe_estimate)
         .collect();
     described.join(", ")
 }
 
-fn describe_belief(belief: &ServerBelief) -> String {
+fn describe_estimate(estimate: &ServerEstimate) -> String {
     let mut text = format!(
         "s-{:08x} {:.2}/{:.2}",
-        belief.server.0, belief.link_utilization, belief.uplink_utilization
+        estimate.server.0, estimate.link_utilization, estimate.uplink_utilization
     );
-    if belief.is_warming_up {
+    if estimate.is_warming_up {
         text.push_str(" cold");
     }
-    if belief.is_short {
+    if estimate.is_short {
         text.push_str(" short");
     }
-    if belief.failures > 0 {
-        text.push_str(&format!(" failed {}", belief.failures));
+    if estimate.failures > 0 {
+        text.push_str(&format!(" failed {}", estimate.failures));
     }
     text
 }
