--- a/crates/platform-proto/src/status.rs
+++ b/crates/platform-proto/src/status.rs
@@ -1,4 +1,4 @@
-//! Counts of what a director holds, and what has happened since the last look, for its log.
+//! The state of a director for its log: current counts, and events since the previous status.
 
 use crate::connection_reasons::{CloseReason, ConnectReason};
 use crate::node_connections::ConnectionTally;
@@ -6,28 +6,29 @@
 use shalewall::{Outcome, ServerEstimate, TimeDelta};
 use std::fmt::Debug;
 
-/// So many of the fullest servers are named.
+/// Number of servers that the status names.
 const MAX_NAMED_SERVERS: usize = 3;
 
-/// How many connections there are, and how many nodes.
+/// Number of connections and of nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionCounts {
     /// Connections of viewers.
     pub viewers: usize,
-    /// Connections to media nodes, half-closed ones included.
+    /// Connections to media nodes, including half-closed ones.
     pub nodes: usize,
-    /// Media nodes that are known.
+    /// Known media nodes.
     pub known_nodes: usize,
 }
 
-/// What a director holds, and what has happened since the last look.
+/// Current counts, and events since the previous status.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
-    /// Requests and sessions now.
+    /// Current requests and sessions.
     pub sessions: SessionCounts,
-    /// Connections and nodes now.
+    /// Current connections and nodes.
     pub connections: ConnectionCounts,
-    /// The servers believed fullest: id, link, uplink, as `s-0000002a 0.71/0.44`, with `cold`, `short` or failures.
+    /// The servers with the highest estimated utilization: id, link and uplink utilization, as `s-0000002a 0.71/0.44`,
+    /// followed by `cold` (warming up), `short` (of capacity) or the number of failures.
     pub fullest_servers: String,
     /// Attempts and sessions that ended, by outcome, as `Success 12, Rejected 1`.
     pub ended: String,
@@ -35,15 +36,15 @@
     pub connections_opened: String,
     /// Connections to nodes that ended, by [`CloseReason`].
     pub connections_closed: String,
-    /// Requests that were withdrawn before any node had them.
+    /// Requests that were withdrawn before a set-up was written to any node.
     pub withdrawn_before_sent: u32,
-    /// Set-ups that were sent although their viewer had left.
+    /// Set-ups that were sent although their viewer had disconnected.
     pub sent_after_withdrawal: u32,
-    /// How late the latest timer fired: this director's own delay.
+    /// The longest delay between a timer's due time and its execution in this process.
     pub timer_delay: TimeDelta,
 }
 
-/// Counts since the last look.
+/// Counts since the previous status.
 #[derive(Default)]
 pub(crate) struct StatusCounters {
     /// In the order of first occurrence.
@@ -74,14 +75,14 @@
     pub(crate) fn new(
         sessions: SessionCounts,
         connections: ConnectionCounts,
-        beliefs: impl Iterator<Item = ServerEstimate>,
+        estimates: impl Iterator<Item = ServerEstimate>,
         counters: StatusCounters,
         tally: ConnectionTally,
     ) -> Status {
         Status {
             sessions,
             connections,
-            fullest_servers: describe_fullest(beliefs),
+            fullest_servers: describe_fullest_servers(estimates),
             ended: describe_counts(counters.ended),
             connections_opened: describe_counts::<ConnectReason>(tally.opened),
             connections_closed: describe_counts::<CloseReason>(tally.closed),
@@ -92,31 +93,32 @@
     }
 }
 
-fn describe_fullest(beliefs: impl Iterator<Item = ServerEstimate>) -> String {
-    let mut servers: Vec<ServerEstimate> = beliefs.collect();
-    let fullest = |belief: &ServerEstimate| belief.link_utilization.max(belief.uplink_utilization);
-    servers.sort_by(|a, b| fullest(b).total_cmp(&fullest(a)));
+fn describe_fullest_servers(estimates: impl Iterator<Item = ServerEstimate>) -> String {
+    let mut servers: Vec<ServerEstimate> = estimates.collect();
+    let highest_utilization =
+        |estimate: &ServerEstimate| estimate.link_utilization.max(estimate.uplink_utilization);
+    servers.sort_by(|a, b| highest_utilization(b).total_cmp(&highest_utilization(a)));
     let described: Vec<String> = servers
         .iter()
         .take(MAX_NAMED_SERVERS)
-        .map(describe_belief)
+        .map(describe_estimate)
         .collect();
     described.join(", ")
 }
 
-fn describe_belief(belief: &ServerEstimate) -> String {
+fn describe_estimate(estimate: &ServerEstimate) -> String {
     let mut text = format!(
         "s-{:08x} {:.2}/{:.2}",
-        belief.server.0, belief.link_utilization, belief.uplink_utilization
+        estimate.server.0, estimate.link_utilization, estimate.uplink_utilization
     );
-    if belief.is_warming_up {
+    if estimate.is_warming_up {
         text.push_str(" cold");
     }
-    if belief.is_short {
+    if estimate.is_short {
         text.push_str(" short");
     }
-    if belief.failures > 0 {
-        text.push_str(&format!(" failed {}", belief.failures));
+    if estimate.failures > 0 {
+        text.push_str(&format!(" failed {}", estimate.failures));
     }
     text
 }
