--- a/crates/engine/src/call_table.rs
+++ b/crates/engine/src/call_table.rs
@@ -1,4 +1,4 @@
-//! The calls to nodes that are in flight, and what each of them is for.
+//! The calls to nodes that are in flight, and their purposes.
 
 use crate::ids::CallId;
 use crate::pending_ends::EndKey;
@@ -6,9 +6,9 @@
 use shalewall_migration::Epoch;
 use std::collections::HashMap;
 
-/// What a call is for.
+/// The purpose of a call.
 pub(crate) enum CallPurpose {
-    /// The set-up attempt of a session.
+    /// A session's set-up attempt.
     SetUp(SessionId),
     /// A change of a session's rung.
     SetRung {
@@ -17,7 +17,7 @@
         /// Its new rung.
         rung: usize,
     },
-    /// The end of an attempt.
+    /// A session attempt's end.
     End(EndKey),
     /// A health check.
     CheckHealth(ServerId),
@@ -25,7 +25,7 @@
     Migrate(MigrationStep),
 }
 
-/// A step of a migration that its target is called for.
+/// A migration step that requires a call to the target.
 #[derive(Clone, Copy)]
 pub(crate) struct MigrationStep {
     pub kind: MigrationStepKind,
@@ -34,7 +34,7 @@
     pub epoch: Epoch,
 }
 
-/// What a target is called for.
+/// The kind of a migration step.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MigrationStepKind {
     Prepare,
@@ -49,7 +49,7 @@
 }
 
 impl CallTable {
-    /// Numbers a call that is to be sent.
+    /// Adds a call and returns its id.
     pub fn add(&mut self, purpose: CallPurpose) -> CallId {
         let call = CallId(self.next_id);
         self.next_id += 1;
@@ -57,7 +57,7 @@
         call
     }
 
-    /// A call is over, or given up; nothing if it was so before.
+    /// Removes a call that has finished or is cancelled. Returns `None` if it is no longer in flight.
     pub fn remove(&mut self, call: CallId) -> Option<CallPurpose> {
         self.in_flight.remove(&call)
     }
--- a/crates/engine/src/catalogue.rs
+++ b/crates/engine/src/catalogue.rs
@@ -1,9 +1,9 @@
-//! The classes, titles and tenants that viewers may name, and the numbers that stand for them.
+//! The classes, titles and tenants that viewers may name in requests, and their numbers in the decision module.
 //!
-//! Tenants come, change and go while sessions play; the decision module knows numbers, which mean the same as long as
-//! a session holds them. Classes with equal settings share a number, so that a thousand tenants on the usual terms
-//! cost the module one class. A class whose settings change gets another number: what plays keeps the settings that
-//! it was set up with, and a set-up in flight that must not be executed twice stays one.
+//! Tenants are added, changed and removed while sessions play. A number keeps its meaning as long as a session refers
+//! to it. Classes with equal settings share a number, so that a thousand tenants with the usual terms cost the
+//! decision module one class. A class whose settings change gets a new number: existing sessions keep the settings
+//! that they were set up with, and a set-up in flight that must not be executed twice keeps this property.
 
 mod number_pool;
 
@@ -15,46 +15,46 @@
 use std::mem::take;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A class that viewers may name.
+/// A class that viewers may name in requests.
 #[derive(Clone, Copy)]
 struct Class {
     number: usize,
     max_wait: TimeDelta,
 }
 
-/// What one tenant's viewers may name.
+/// The names that one tenant's viewers may use.
 #[derive(Default)]
 struct Tenant {
     number: usize,
     accepts_requests: bool,
-    /// Without any, the site's are its own.
+    /// If empty, the site's classes apply.
     classes: BTreeMap<String, Class>,
     titles: BTreeMap<String, TitlePlacement>,
     nodes: Vec<ServerId>,
     fleet: u32,
 }
 
-/// What the names in a viewer's request stand for.
+/// The numbers and terms that the names in a viewer's request resolve to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResolvedNames {
     /// Number of the class.
     pub class: usize,
-    /// The longest time that viewers of the class wait.
+    /// The maximum time that viewers of the class wait for an answer.
     pub max_wait: TimeDelta,
-    /// The title, together with the class and the tenant whose they are.
+    /// Identifies the title, together with the class and the namespace of its tenant.
     pub title: TitleId,
-    /// Where the title is.
+    /// The cells that hold the title.
     pub placement: TitlePlacement,
     /// Number of the tenant.
     pub tenant: Option<usize>,
-    /// The fleet whose nodes it may use; 0: the one that all share.
+    /// The fleet whose nodes the session may use; 0 is the shared fleet.
     pub fleet: u32,
 }
 
-/// A name that stands for nothing here.
+/// The kind of name that could not be resolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownName {
-    /// There is no such tenant, or it takes nothing new.
+    /// There is no such tenant, or it accepts no new sessions.
     Tenant,
     /// There is no such class.
     Class,
@@ -63,7 +63,7 @@
 }
 
 impl UnknownName {
-    /// What is unknown, as the answer to the viewer names it.
+    /// The kind, as the answer to the viewer names it.
     pub fn kind(self) -> &'static str {
         match self {
             UnknownName::Tenant => "tenant",
@@ -73,21 +73,21 @@
     }
 }
 
-/// All names, with their numbers.
+/// All names and their numbers.
 pub struct Catalogue {
     classes: NumberPool<ClassSettings>,
-    /// Each tenant's weight; which part of the fleet that is depends on the others'.
+    /// Each tenant's weight. The fraction of the fleet that it stands for depends on the sum of all weights.
     quotas: NumberPool<f64>,
-    /// Request quotas of the settings' tenants.
+    /// Request quotas of the settings' tenants, by number.
     request_quotas_per_s: Vec<f64>,
     site: Tenant,
     tenants: BTreeMap<String, Tenant>,
-    /// Fleets of nodes that are a tenant's own.
+    /// The fleets of nodes that are dedicated to tenants.
     fleets: BTreeMap<ServerId, u32>,
 }
 
 impl Catalogue {
-    /// Takes the names out of the configuration: from here on they are known here alone.
+    /// Moves the names out of the configuration: from now on the catalogue is their only owner.
     pub fn new(config: &mut Config) -> Catalogue {
         let classes = take(&mut config.classes).into_iter().enumerate();
         let classes = classes.map(|(number, class)| {
@@ -111,7 +111,7 @@
         });
         let tenant_settings = &config.settings.tenants;
         Catalogue {
-            // Held by the settings: these numbers are never given to others.
+            // The settings keep a reference to these numbers, so they are never reused.
             classes: NumberPool::new(config.settings.classes.iter().copied()),
             quotas: NumberPool::new(tenant_settings.iter().map(|tenant| tenant.fleet_quota)),
             request_quotas_per_s: tenant_settings
@@ -124,7 +124,7 @@
         }
     }
 
-    /// What a viewer's names stand for.
+    /// Resolves the names in a viewer's request.
     pub fn resolve(
         &self,
         tenant: Option<&str>,
@@ -138,7 +138,8 @@
         let titles = &own_titles.unwrap_or(&self.site).titles;
         let found_class = *classes.get(class).ok_or(UnknownName::Class)?;
         let placement = *titles.get(title).ok_or(UnknownName::Title)?;
-        // Session limits go by title and class; tenants that have either of their own share neither with others.
+        // Session limits apply per title and class. Tenants with classes or titles of their own have a separate
+        // namespace, so that they share no limit with others.
         let has_own_names = own_classes.is_some() || own_titles.is_some();
         let namespace = tenant.filter(|_| has_own_names).unwrap_or("");
         let title = format!("{namespace}\n{class}\n{title}");
@@ -158,7 +159,7 @@
         accepting.ok_or(UnknownName::Tenant)
     }
 
-    /// A session that has these numbers is under way.
+    /// Adds a reference to the numbers of a session's class and tenant.
     pub fn acquire(&mut self, class: usize, tenant: Option<usize>) {
         self.classes.acquire(class);
         if let Some(tenant) = tenant {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// A session that had these numbers is over.
+    /// Releases the references of a session that is over.
     pub fn release(&mut self, class: usize, tenant: Option<usize>) {
         self.classes.release(class);
         if let Some(tenant) = tenant {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// What is agreed with a tenant from now on; nothing: it is gone. Its sessions keep what they hold.
+    /// Sets a tenant's terms, or removes the tenant if `terms` is `None`. Its sessions keep their numbers.
     pub fn set_terms(&mut self, name: &str, terms: Option<TenantTerms>) {
         let before = self.tenants.remove(name);
         let number = before.as_ref().map(|tenant| tenant.number);
@@ -186,7 +187,7 @@
             }
             (None, None) => {}
         }
-        // After the new ones, so that what did not change keeps its number.
+        // Released after the new ones are acquired, so that unchanged classes keep their numbers.
         for class in before.iter().flat_map(|tenant| tenant.classes.values()) {
             self.classes.release(class.number);
         }
@@ -211,9 +212,9 @@
         self.tenants.insert(name.to_string(), tenant);
     }
 
-    /// Assigns nodes to fleets anew, and returns the nodes whose fleet has changed. A node that several tenants name
-    /// belongs to the first one by name, whatever the order in which a director heard of them, unless all name the
-    /// same nodes.
+    /// Recomputes the fleets, and returns the nodes whose fleet has changed. Tenants with the same set of nodes share a
+    /// fleet. Otherwise, a node that several tenants name belongs to the first of them in the order of their names, so
+    /// the result does not depend on the order of updates.
     pub fn assign_fleets(&mut self) -> Vec<ServerId> {
         let before = take(&mut self.fleets);
         let mut fleet_by_nodes: BTreeMap<Vec<ServerId>, u32> = BTreeMap::new();
@@ -238,17 +239,17 @@
         changed
     }
 
-    /// The fleet that a node belongs to; 0: the one that all share.
+    /// The fleet of a node; 0 is the shared fleet.
     pub fn fleet(&self, server: ServerId) -> u32 {
         self.fleets.get(&server).copied().unwrap_or(0)
     }
 
-    /// Classes by number, as the decision module wants them.
+    /// The classes in the order of their numbers, for the decision module.
     pub fn classes(&self) -> Vec<ClassSettings> {
         self.classes.values().collect()
     }
 
-    /// Tenants by number, as the decision module wants them: each quota over the sum of all.
+    /// The tenants in the order of their numbers, for the decision module, with each weight as a fraction of the sum.
     pub fn tenants(&self) -> Vec<TenantSettings> {
         let total: f64 = self.quotas.values().sum();
         let fraction = |quota: f64| if total > 0.0 { quota / total } else { 0.0 };
--- a/crates/engine/src/catalogue/number_pool.rs
+++ b/crates/engine/src/catalogue/number_pool.rs
@@ -1,24 +1,34 @@
-//! Numbers for values, which are taken back when nothing holds them.
+//! Reference-counted numbers for values. A number is reused when nothing refers to it.
 
-/// A value and how many hold its number.
+/// A value and the reference count of its number.
 struct Entry<T> {
     value: T,
-    holders: usize,
+    references: usize,
 }
 
-/// Values by their numbers.
+/// Values, indexed by their numbers.
 pub(super) struct NumberPool<T>(Vec<Entry<T>>);
 
 impl<T: PartialEq + Copy> NumberPool<T> {
-    /// Numbers for these values, in their order; each is held once.
+    /// Assigns numbers to these values in order, with one reference each.
     pub fn new(values: impl Iterator<Item = T>) -> NumberPool<T> {
-        NumberPool(values.map(|value| Entry { value, holders: 1 }).collect())
+        NumberPool(
+            values
+                .map(|value| Entry {
+                    value,
+                    references: 1,
+                })
+                .collect(),
+        )
     }
 
-    /// A number of its own for a value: the smallest that is free.
+    /// Allocates the smallest free number for a value.
     pub fn allocate(&mut self, value: T) -> usize {
-        let entry = Entry { value, holders: 1 };
-        match self.0.iter().position(|entry| entry.holders == 0) {
+        let entry = Entry {
+            value,
+            references: 1,
+        };
+        match self.0.iter().position(|entry| entry.references == 0) {
             Some(free) => {
                 self.0[free] = entry;
                 free
@@ -30,9 +40,9 @@
         }
     }
 
-    /// The number of an equal value that is held, or a new one.
+    /// Adds a reference to the number of an equal value in use, or allocates a new number.
     pub fn allocate_shared(&mut self, value: T) -> usize {
-        let is_equal = |entry: &Entry<T>| entry.holders > 0 && entry.value == value;
+        let is_equal = |entry: &Entry<T>| entry.references > 0 && entry.value == value;
         match self.0.iter().position(is_equal) {
             Some(number) => {
                 self.acquire(number);
@@ -42,23 +52,23 @@
         }
     }
 
-    /// One more holds a number.
+    /// Adds a reference to a number.
     pub fn acquire(&mut self, number: usize) {
-        self.0[number].holders += 1;
+        self.0[number].references += 1;
     }
 
-    /// One less holds a number.
+    /// Removes a reference to a number.
     pub fn release(&mut self, number: usize) {
-        let holders = &mut self.0[number].holders;
-        *holders = holders.saturating_sub(1);
+        let references = &mut self.0[number].references;
+        *references = references.saturating_sub(1);
     }
 
-    /// Changes the value of a number.
+    /// Sets the value of a number.
     pub fn set(&mut self, number: usize, value: T) {
         self.0[number].value = value;
     }
 
-    /// All values, by their numbers.
+    /// All values in the order of their numbers.
     pub fn values(&self) -> impl Iterator<Item = T> {
         self.0.iter().map(|entry| entry.value)
     }
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,10 +1,10 @@
-//! What an engine is told at its start. Names stop at the engine: the decision module knows numbers.
+//! Configuration of an engine. The engine maps names to numbers; the decision module uses numbers only.
 
 use shalewall::{Settings, TimeDelta};
 use shalewall_migration::planner::MigrationPolicy;
 use std::collections::BTreeMap;
 
-/// The cells that hold a title: `replica_cells` in a row from `first_cell` on.
+/// The cells that hold a title: `replica_cells` consecutive ones, starting with `first_cell`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TitlePlacement {
     /// The first cell that holds the title.
@@ -13,36 +13,36 @@
     pub replica_cells: u64,
 }
 
-/// A class of the settings, in their order.
+/// A class of the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedClass {
-    /// The name that viewers ask for.
+    /// The name that viewers use in requests.
     pub name: String,
-    /// The longest time that its viewers wait for an answer.
+    /// The maximum time that its viewers wait for an answer.
     pub max_wait: TimeDelta,
 }
 
-/// What an engine is told at its start.
+/// Configuration of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
-    /// Seed of all that chance decides.
+    /// Seed of all random decisions.
     pub seed: u64,
     /// Settings of the decision module.
     pub settings: Settings,
-    /// The settings' classes, by their numbers.
+    /// The settings' classes in the order of their numbers.
     pub classes: Vec<NamedClass>,
-    /// Names of the settings' tenants, by their numbers.
+    /// Names of the settings' tenants in the order of their numbers.
     pub tenants: Vec<String>,
-    /// Names of the zones, by their numbers.
+    /// Names of the zones in the order of their numbers.
     pub zones: Vec<String>,
-    /// Names of the machine kinds, by their numbers.
+    /// Names of the machine kinds in the order of their numbers.
     pub machine_kinds: Vec<String>,
-    /// The titles that every viewer may ask for.
+    /// The site's titles, which are available to viewers of all tenants without titles of their own.
     pub titles: BTreeMap<String, TitlePlacement>,
-    /// Requests beyond so many sessions are rejected before the decision module sees them.
+    /// Maximum number of sessions. Further requests are rejected before they reach the decision module.
     pub max_sessions: usize,
-    /// Distinguishes the sessions of one start of this director from those of another; 14 bits count.
+    /// Distinguishes the session ids of this director process from those of earlier ones; 14 bits are used.
     pub incarnation: u16,
-    /// Terms on which sessions migrate while they play; without them none does.
+    /// Policy for the migration of playing sessions. `None` disables migration.
     pub migration: Option<MigrationPolicy>,
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,8 +1,8 @@
-//! The state machine: takes inputs and timeouts, passes between the owners of its state what one has found out and
-//! another must know, and queues outputs.
+//! The state machine: takes inputs and timeouts, coordinates the modules that own its state, and queues outputs.
 //!
-//! Each module below has one concern. An input goes to the module that [`Engine::handle`] names; what the decision
-//! module has to hear is queued in `events`, and `actions` passes it on and carries out what comes back.
+//! Each submodule has one concern. `Engine::dispatch` passes an input to the submodule that handles it. Events for
+//! the decision module are queued in `Engine::events`; the submodule `actions` passes them on and carries out the
+//! resulting actions.
 
 mod actions;
 mod attempts;
@@ -49,25 +49,25 @@
     nodes: NodeTable,
     calls: CallTable,
     pending_ends: PendingEnds,
-    /// None where no session migrates.
+    /// `None` if migrations are disabled.
     migrations: Option<Migrations>,
-    /// None where no session migrates: what an earlier process left is ended then.
+    /// `None` if migrations are disabled: sessions of an earlier process are then ended.
     recovery: Option<Recovery>,
     timers: Timers<Timer, Timestamp>,
-    /// What the decision module has to hear yet.
+    /// Events that have not been passed to the decision module yet.
     events: VecDeque<Event>,
     outputs: VecDeque<Output>,
 }
 
 impl Engine {
-    /// An engine whose sessions the decision module decides. `now` is the time of its start, on any clock that does
-    /// not run backwards.
+    /// Creates an engine with the decision module as its policy. `now` is the time of its start, on any monotonic
+    /// clock.
     pub fn new(config: Config, now: Timestamp) -> Engine {
         let director = Director::new(config.seed, config.settings.clone(), now);
         Engine::with_policy(config, Box::new(director), now)
     }
 
-    /// An engine whose sessions another policy decides.
+    /// Creates an engine with another policy.
     pub fn with_policy(
         mut config: Config,
         policy: Box<dyn DecisionPolicy>,
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Admits requests by this control from now on. It has to be set before the first request: it never hears of
-    /// those admitted before.
+    /// Sets the admission control. It has to be set before the first request, since it is not informed of requests that
+    /// were admitted before.
     pub fn set_admission_control(&mut self, admission: Box<dyn AdmissionControl>) {
         self.admission = admission;
     }
 
-    /// Takes one input. Inputs of one turn carry the same time.
+    /// Handles one input. Inputs that are handled in one turn of the event loop carry the same time.
     pub fn handle(&mut self, now: Timestamp, input: Input) {
         self.now = now;
         self.dispatch(input);
@@ -137,18 +137,18 @@
             Input::PlayerSubscription {
                 session,
                 playing_epoch: Some(epoch),
-            } => self.player_follows(session, epoch),
+            } => self.player_subscribed(session, epoch),
             Input::PlayerSubscription {
                 session,
                 playing_epoch: None,
-            } => self.player_stopped_following(session),
+            } => self.player_unsubscribed(session),
             Input::StreamSilent { session, buffered } => self.stream_silent(session, buffered),
             Input::EpochPlaying { session, epoch } => self.epoch_playing(session, epoch),
             Input::EpochDeclined { session, epoch } => self.epoch_declined(session, epoch),
         }
     }
 
-    /// Fires the timers that are due.
+    /// Fires the timers that are due, resumes recovered sessions and plans migrations.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.now = now;
         while let Some(timer) = self.timers.pop_due(now) {
@@ -171,12 +171,12 @@
         self.plan_migrations();
     }
 
-    /// The next thing to do; call it until it returns nothing.
+    /// Returns the next output. Call it until it returns `None`.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Engine::handle_timeout`] is due.
+    /// The time at which [`Engine::handle_timeout`] is due.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
         let migrations = self.migrations.as_ref().and_then(Migrations::poll_timeout);
         let recovery = self.recovery.as_ref().and_then(Recovery::poll_timeout);
@@ -184,7 +184,7 @@
         all.into_iter().flatten().min()
     }
 
-    /// How many sessions there are, by what is under way.
+    /// Session counts by stage.
     pub fn session_counts(&self) -> SessionCounts {
         SessionCounts {
             unconfirmed_ends: self.pending_ends.len(),
@@ -192,7 +192,8 @@
         }
     }
 
-    /// Sessions of a tenant, `limit` at most. Walks all sessions: for operators, not for the path of requests.
+    /// At most `limit` sessions of a tenant. Iterates over all sessions: meant for operators' queries, not for the
+    /// request path.
     pub fn tenant_sessions(&self, tenant: &str, limit: usize) -> Vec<SessionSummary> {
         self.sessions.of_tenant(tenant, limit)
     }
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -5,11 +5,11 @@
 use crate::output::{Answer, Output};
 use shalewall::{Action, SessionId, TimeDelta};
 
-/// The decision module fails a session so much ahead of its deadline at most, beyond the interval of its batches.
+/// The decision module may fail a session ahead of its deadline by its batch interval plus this tolerance.
 const DEADLINE_TOLERANCE: TimeDelta = TimeDelta::from_millis(1);
 
 impl Engine {
-    /// Passes on what is queued and carries out what comes back, until neither is left.
+    /// Passes the queued events to the decision module and carries out its actions, until no event is left.
     pub(super) fn run_policy(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -56,7 +56,7 @@
                 self.outputs.push_back(output);
             }
             Action::Log(text) => self.outputs.push_back(Output::Log(text)),
-            // The list is pushed, and directors do not talk to each other yet.
+            // The endpoint list is pushed, and there is no communication between directors yet.
             Action::PollEndpoints | Action::WatchEndpoints(_) | Action::SendToPeer { .. } => {}
         }
     }
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -1,5 +1,5 @@
-//! Set-up attempts: sent to a node, answered, timed out or cancelled. Whatever an attempt may have begun and its
-//! viewer does not get is ended at the node.
+//! Set-up attempts: sent to a node, answered, timed out or cancelled. A session that an attempt may have started, but
+//! that its viewer does not get, is ended at the node.
 
 use super::Engine;
 use super::calls::CallOutcome;
@@ -12,7 +12,7 @@
 use crate::session::{Session, SetUpInFlight, Stage};
 use shalewall::{Event, LoadReport, Outcome, ServerId, SessionId, Settings, TimeDelta};
 
-/// An attempt without a timeout of its own may take until its request's deadline.
+/// Timeout of an attempt that has none of its own: its request's deadline applies.
 const NO_TIMEOUT: TimeDelta = TimeDelta::from_micros(i64::MAX / 2);
 
 fn set_up_call(session: &Session, attempt: u32, settings: &Settings) -> CallKind {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Whether a node certainly has not executed an attempt that ended so.
+/// Whether an attempt with this outcome was certainly not executed by the node.
 fn is_not_started(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -55,7 +55,7 @@
         let timeout = timeout.unwrap_or(NO_TIMEOUT).max(TimeDelta::ZERO);
         let due = state.request.deadline.min(self.now + timeout);
         let Some(call) = self.send_call(server, CallPurpose::SetUp(session), kind) else {
-            // A node without an address was never reached.
+            // The node has no address, so nothing was sent.
             let load_report = LoadReport::default();
             let outcome = Outcome::NotSent;
             return self.finish_attempt(session, attempt, server, outcome, load_report);
@@ -73,7 +73,7 @@
             .set(due, Timer::AttemptTimeout { session, attempt });
     }
 
-    /// Tells the decision module how an attempt ended that began no session.
+    /// Notifies the decision module of the outcome of an attempt that started no session.
     fn finish_attempt(
         &mut self,
         session: SessionId,
@@ -100,7 +100,7 @@
         });
     }
 
-    /// Records how an attempt ended.
+    /// Reports the outcome of an attempt to the driver.
     fn record_attempt(
         &mut self,
         session: SessionId,
@@ -130,7 +130,7 @@
         self.finish_attempt(session, attempt, server, outcome, LoadReport::default());
     }
 
-    /// The decision module wants an attempt no more. It hears of its end when the node has confirmed that.
+    /// The decision module cancels an attempt. It is notified of the outcome when the node has confirmed the end.
     pub(super) fn cancel_attempt(&mut self, session: SessionId, attempt: u32) {
         let Some(state) = self.sessions.get_mut(session) else {
             return;
@@ -140,7 +140,7 @@
         };
         let outcome = Outcome::Cancelled;
         let server = set_up.server;
-        state.stage = Stage::Leaving { server, outcome };
+        state.stage = Stage::Ending { server, outcome };
         self.cancel_call(set_up.call);
         self.record_attempt(session, attempt, set_up, outcome);
         self.require_end(end_key(server, session, attempt), None);
@@ -185,7 +185,7 @@
         if !is_not_started(outcome) {
             self.require_end(end_key(server, session, attempt), None);
         }
-        // A success that does not say where the stream is may have begun a session, and is of no use.
+        // A success without the URL of the stream may have started a session, but the viewer can't use it.
         let outcome = match outcome {
             Outcome::Success => Outcome::Error,
             outcome => outcome,
@@ -193,10 +193,10 @@
         self.finish_attempt(session, attempt, server, outcome, load_report);
     }
 
-    /// The viewer left, or has had its answer: what runs now must not be leaked.
+    /// Ends a session that was set up after its viewer left or was answered, so that it does not leak.
     fn discard_set_up(&mut self, session: SessionId, attempt: u32, server: ServerId) {
         if let Some(state) = self.sessions.get_mut(session) {
-            state.stage = Stage::Leaving {
+            state.stage = Stage::Ending {
                 server,
                 outcome: Outcome::Success,
             };
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -1,4 +1,4 @@
-//! Sends calls to nodes, and passes their results to what they were for.
+//! Sends calls to nodes, and passes their results to the module that requested them.
 
 use super::Engine;
 use crate::call_table::{CallPurpose, MigrationStepKind};
@@ -7,7 +7,7 @@
 use crate::output::{CallKind, Output};
 use shalewall::{LoadReport, Outcome, ServerId};
 
-/// A call's result in the terms of the decision module.
+/// The result of a call in the decision module's types.
 pub(super) struct CallOutcome {
     pub outcome: Outcome,
     pub load_report: LoadReport,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether a node holds nothing any more: it has ended it, or does not know it.
+/// Whether an answer confirms that the node no longer holds the session: it has ended it, or does not know it.
 pub(super) fn confirms_absence(result: &CallResult) -> bool {
     matches!(
         result,
@@ -50,7 +50,7 @@
 }
 
 impl Engine {
-    /// Calls a node; nothing if its address is not known.
+    /// Calls a node. Returns `None` if its address is not known.
     pub(super) fn send_call(
         &mut self,
         server: ServerId,
@@ -68,7 +68,7 @@
         Some(call)
     }
 
-    /// Gives a call up, if it is still in flight.
+    /// Cancels a call. Returns its purpose, or `None` if it is no longer in flight.
     pub(super) fn cancel_call(&mut self, call: CallId) -> Option<CallPurpose> {
         let purpose = self.calls.remove(call)?;
         self.outputs.push_back(Output::CancelCall { call });
@@ -77,7 +77,7 @@
 
     pub(super) fn call_finished(&mut self, call: CallId, result: CallResult) {
         let Some(purpose) = self.calls.remove(call) else {
-            return; // given up before
+            return; // already cancelled
         };
         match purpose {
             CallPurpose::SetUp(session) => self.set_up_finished(session, result),
--- a/crates/engine/src/engine/endpoints.rs
+++ b/crates/engine/src/engine/endpoints.rs
@@ -1,5 +1,5 @@
-//! Updates of the endpoint list: nodes are watched while they are listed, and what a node held is lost when it is
-//! listed no more.
+//! Updates of the endpoint list. Nodes are watched while they are listed; the sessions of a node that is removed from
+//! the list are lost.
 
 use super::Engine;
 use crate::input::EndpointEntry;
@@ -19,7 +19,7 @@
         self.nodes.record_endpoints(update, &endpoints);
         self.events
             .push_back(Event::EndpointsUpdated { update, endpoints });
-        // The decision module first: nothing that follows may send to a node that is listed as gone now.
+        // The decision module handles the update first, so that nothing below makes it call a node that is gone.
         self.run_policy();
         for NodeAddress { server, address } in changes.added {
             self.outputs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Migrations hear which nodes drain, and leave targets that take no sessions any more.
+    /// Passes the draining nodes to the planner, and withdraws migration targets that no longer accept sessions.
     fn update_migration_endpoints(&mut self, entries: &[EndpointEntry]) {
         let Some(migrations) = &mut self.migrations else {
             return;
@@ -45,7 +45,7 @@
 
     fn node_removed(&mut self, server: ServerId) {
         self.outputs.push_back(Output::UnwatchNode { server });
-        self.lose_sessions(server, Timestamp::MAX, &[]);
+        self.handle_lost_sessions(server, Timestamp::MAX, &[]);
         for key in self.pending_ends.at_server(server) {
             self.confirm_end(key);
         }
--- a/crates/engine/src/engine/ends.rs
+++ b/crates/engine/src/engine/ends.rs
@@ -1,4 +1,4 @@
-//! Ends at nodes: sent until they are confirmed.
+//! Session ends: sent to a node until it confirms them.
 
 use super::Engine;
 use super::calls::confirms_absence;
@@ -10,7 +10,7 @@
 use shalewall_migration::Epoch;
 
 impl Engine {
-    /// A node may hold this attempt: it is told to end it until it has confirmed that.
+    /// Has a node end an attempt that it may hold. The call is repeated until the node confirms the end.
     pub(super) fn require_end(&mut self, key: EndKey, up_to_epoch: Option<Epoch>) {
         match self.pending_ends.require(key, up_to_epoch) {
             EndRequirement::Unchanged => return,
@@ -25,9 +25,9 @@
         self.send_end(key);
     }
 
-    /// Sends an end, again where it has had no answer in time.
+    /// Sends a pending end. An earlier call for it that has had no answer is cancelled.
     pub(super) fn send_end(&mut self, key: EndKey) {
-        let Some(end) = self.pending_ends.begin_try(key) else {
+        let Some(end) = self.pending_ends.prepare_call(key) else {
             return;
         };
         if let Some(call) = end.superseded {
@@ -54,13 +54,13 @@
         }
     }
 
-    /// The node holds it no more.
+    /// The node has confirmed that it no longer holds the attempt, or can't be reached any more.
     pub(super) fn confirm_end(&mut self, key: EndKey) {
         let Some(end) = self.pending_ends.remove(key) else {
             return;
         };
         if let Some(call) = end.call {
-            // Confirmed by another message than its answer, which may never come.
+            // Confirmed by something other than the call's answer, which may never arrive.
             self.cancel_call(call);
         }
         let state = self.sessions.get_attempt_mut(key.session, key.attempt);
--- a/crates/engine/src/engine/health_checks.rs
+++ b/crates/engine/src/engine/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of nodes, as the decision module asks for them.
+//! Health checks of nodes, on request of the decision module.
 
 use super::Engine;
 use super::calls::CallOutcome;
@@ -8,7 +8,7 @@
 use crate::output::CallKind;
 use shalewall::{Event, LoadReport, Outcome, ServerId, TimeDelta};
 
-/// A health check counts as unanswered after this; the decision module waits for less.
+/// Timeout of a health check. It is longer than the time for which the decision module waits.
 const HEALTH_CHECK_TIMEOUT: TimeDelta = TimeDelta::from_secs(1);
 
 impl Engine {
--- a/crates/engine/src/engine/migration_plan.rs
+++ b/crates/engine/src/engine/migration_plan.rs
@@ -1,4 +1,4 @@
-//! The begin and end of migrations: the planner says which session is to migrate, the decision module finds where to.
+//! Start and end of migrations: the planner selects the sessions, the decision module their targets.
 
 use super::Engine;
 use crate::output::Output;
@@ -8,7 +8,7 @@
 use shalewall_migration::planner::DueMigration;
 
 impl Engine {
-    /// Asks the decision module for a target of each session that is to migrate now.
+    /// Requests a target from the decision module for each session that is due for migration.
     pub(super) fn plan_migrations(&mut self) {
         let now = self.now;
         let Some(migrations) = &mut self.migrations else {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The decision module has found a target.
+    /// Starts a migration to the target that the decision module has found.
     pub(super) fn start_migration(&mut self, session: SessionId, server: ServerId, rung: usize) {
         if !self.try_start_migration(session, server, rung) {
             let migrated = false;
@@ -68,7 +68,7 @@
         migration.start(self.now, target, migrations.target_deadline(self.now))
     }
 
-    /// Sessions on their way to nodes that take none any more go elsewhere, unless their players have been told.
+    /// Withdraws migration targets that no longer accept sessions, unless the player has been offered the target.
     pub(super) fn withdraw_targets(&mut self, servers: &[ServerId]) {
         if servers.is_empty() {
             return;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A session plays at its target.
+    /// A session now plays at its target.
     pub(super) fn migration_succeeded(&mut self, session: SessionId, target: ServerId) {
         let state = self.sessions.get_mut(session);
         let rung_call = state.and_then(|state| state.switch_to_target(target, self.now));
@@ -94,7 +94,7 @@
         self.finish_migration(session, target, true);
     }
 
-    /// A migration is over; `migrated`: the session plays at its target.
+    /// Finishes a migration. `migrated` says whether the session now plays at the target.
     pub(super) fn finish_migration(&mut self, session: SessionId, to: ServerId, migrated: bool) {
         let migration = self.sessions.migration_mut(session);
         let Some(target) = migration.and_then(|migration| migration.target.take()) else {
@@ -102,7 +102,7 @@
         };
         let cancelled = target.call.and_then(|call| self.cancel_call(call));
         if cancelled.is_some() && target.ready_since.is_none() {
-            // It did not answer in time: a sign that it is silent.
+            // The target did not answer in time, so it may be silent.
             self.events.push_back(Event::ServerSilent(target.server));
         }
         self.events
@@ -119,7 +119,7 @@
         });
     }
 
-    /// The session is leaving, or over: whatever is under way to another node ends there.
+    /// The session is ending or over: ends what its migration has started at the target.
     pub(super) fn stop_migration(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get_mut(session) else {
             return;
@@ -131,7 +131,7 @@
         if let Some(migrations) = &mut self.migrations {
             migrations.remove_session(session);
         }
-        if migration.player_follows {
+        if migration.player_subscribed {
             self.outputs.push_back(Output::SessionEnded { session });
         }
         let Some(target) = migration.target else {
--- a/crates/engine/src/engine/migration_protocol.rs
+++ b/crates/engine/src/engine/migration_protocol.rs
@@ -1,5 +1,5 @@
-//! The steps of one session's migration: the protocol's coordinator (`shalewall-migration`) says what has to be done,
-//! and hears what nodes and players answer.
+//! The steps of one session's migration: carries out the outputs of the protocol's coordinator
+//! (`shalewall-migration`), and passes it the answers of nodes and players.
 
 use super::Engine;
 use super::calls::confirms_absence;
@@ -16,11 +16,11 @@
 use shalewall_migration::node::CancelOutcome;
 use shalewall_migration::planner::MigrationReason;
 
-/// A release up to this epoch is one of all.
+/// Stands for all epochs in a release.
 const LAST_EPOCH: Epoch = Epoch(u32::MAX);
 
 impl Engine {
-    /// Tells a session's coordinator something, and carries out what it says.
+    /// Passes an input to a session's coordinator, and carries out its outputs.
     pub(super) fn handle_migration(&mut self, session: SessionId, input: coordinator::Input) {
         if let Some(migration) = self.sessions.migration_mut(session) {
             migration.coordinator.handle(self.now, input);
@@ -36,9 +36,9 @@
         }
     }
 
-    /// Carries out what a session's coordinator says, and sets its timer.
+    /// Carries out the outputs of a session's coordinator, and sets its timer.
     pub(super) fn drive_migration(&mut self, session: SessionId) {
-        // One at a time: carrying one out may cause further ones, or end the session.
+        // Outputs are polled one at a time, since carrying one out may cause further ones or end the session.
         while let Some(output) = self.poll_migration(session) {
             self.carry_out_step(session, output);
         }
@@ -95,7 +95,8 @@
         let Some(migration) = state.migration.as_deref_mut() else {
             return;
         };
-        // Without a target: back where it was, since the target that it may have switched to is gone.
+        // There is no target if the session returns to its source, because the target that its player may have
+        // switched to has failed.
         let rung = migration
             .target
             .get_or_insert_with(|| {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Calls a target, unless a call to it is in flight: one at a time. False: it has no address.
+    /// Calls a target, unless a call to it is already in flight. Returns `false` if the target has no known address.
     fn call_target(&mut self, step: MigrationStep, kind: CallKind) -> bool {
         let Some(migration) = self.sessions.migration_mut(step.session) else {
             return false;
@@ -201,7 +202,7 @@
         }
     }
 
-    // ---- answers of nodes -------------------------------------------------------------------
+    // ---- answers and events from nodes ------------------------------------------------------
 
     pub(super) fn prepare_finished(&mut self, step: MigrationStep, result: CallResult) {
         let node = step.target;
@@ -220,7 +221,7 @@
             CallResult::Answered { .. } | CallResult::NotStarted(_) => {
                 coordinator::Input::PrepareRejected { node, epoch }
             }
-            // It may be ready: the next retry asks again, and has the same answer.
+            // The target may be ready. Preparation is idempotent, so the next retry will tell.
             CallResult::MaybeExecuted(_) | CallResult::NotSent(_) => return,
         };
         self.handle_migration(step.session, input);
@@ -238,7 +239,7 @@
         let outcome = match result {
             result if confirms_absence(result) => CancelOutcome::Cancelled,
             CallResult::Answered { status: 409, .. } => CancelOutcome::AlreadyServing,
-            _ => return, // the next retry asks again
+            _ => return, // the coordinator retries
         };
         let input = coordinator::Input::Cancelled {
             node: step.target,
@@ -248,7 +249,7 @@
         self.handle_migration(step.session, input);
     }
 
-    /// The player of a session has fetched its stream at a node.
+    /// The player of a session has fetched its stream from a node.
     pub(super) fn stream_fetched(
         &mut self,
         node: ServerId,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// A node has confirmed that it holds nothing of a session any more, up to an epoch.
+    /// A node has confirmed that it has released a session up to an epoch, or completely.
     pub(super) fn node_released(
         &mut self,
         session: SessionId,
@@ -272,7 +273,7 @@
         self.handle_migration(session, coordinator::Input::Released { node, epoch });
     }
 
-    /// A node's process, or this session's stream there, is gone. False: the session can't survive that.
+    /// A node's process, or this session's stream there, is gone. Returns `false` if the session does not survive that.
     pub(super) fn node_failed_for(&mut self, session: SessionId, node: ServerId) -> bool {
         let state = self.sessions.get(session);
         if !state.is_some_and(|state| state.survives_node_failure()) {
--- a/crates/engine/src/engine/nodes.rs
+++ b/crates/engine/src/engine/nodes.rs
@@ -1,4 +1,4 @@
-//! What nodes tell on their event streams: what they hold, how loaded they are, and which sessions have ended there.
+//! Events from nodes: which sessions they hold, their load, and which sessions have ended there.
 
 use super::Engine;
 use crate::ids::SessionAttempt;
@@ -34,14 +34,15 @@
 }
 
 impl Engine {
-    /// A node's event stream is open: what it does not hold is lost, and what it should not hold ends there.
+    /// A node's event stream has opened. Sessions that the node should hold and does not are lost; those that it holds
+    /// and should not are ended.
     pub(super) fn node_connected(
         &mut self,
         server: ServerId,
         requested_at: Timestamp,
         held: &[SessionAttempt],
     ) {
-        self.lose_sessions(server, requested_at, held);
+        self.handle_lost_sessions(server, requested_at, held);
         for SessionAttempt { session, attempt } in held {
             let key = EndKey {
                 server,
@@ -60,7 +61,7 @@
         if is_expected || is_recovering || self.pending_ends.contains(key) {
             return;
         }
-        // A session that plays elsewhere may come back to this node by a later migration.
+        // A session that plays elsewhere may return to this node under a later epoch.
         let migration = state.and_then(|state| state.migration.as_ref());
         let up_to_epoch = migration.map(|migration| migration.coordinator.latest_epoch());
         self.require_end(key, up_to_epoch);
@@ -71,12 +72,12 @@
         if let Some(recovery) = &mut self.recovery {
             recovery.node_failed(server);
         }
-        self.lose_sessions(server, Timestamp::MAX, &[]);
+        self.handle_lost_sessions(server, Timestamp::MAX, &[]);
     }
 
-    /// Sessions that began to play at a node before `before`, and that it does not hold, are lost; and so is what was
-    /// ready there for sessions that migrate.
-    pub(super) fn lose_sessions(
+    /// Handles the loss of sessions that have played at a node since before `before` and that it does not hold, and of
+    /// migration targets that were ready there.
+    pub(super) fn handle_lost_sessions(
         &mut self,
         server: ServerId,
         before: Timestamp,
@@ -128,7 +129,7 @@
             return;
         };
         if state.is_migrating() && self.node_failed_for(session, server) {
-            return; // its player has closed one of two streams: the other one may go on
+            return; // the player has closed one of its two streams; the other one may continue
         }
         let Some(state) = self.sessions.get_mut(session) else {
             return;
@@ -138,7 +139,7 @@
             Stage::Playing { server: node, .. } if *node == server => {
                 self.finish_session(session, server, attempt, Outcome::Success);
             }
-            Stage::Playing { .. } | Stage::Leaving { .. } => self.confirm_end(EndKey {
+            Stage::Playing { .. } | Stage::Ending { .. } => self.confirm_end(EndKey {
                 server,
                 session,
                 attempt,
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Passes on a node's load that was reported with one of the sessions that play there.
+    /// Passes on a node's load if the session with which it was reported plays there.
     pub(super) fn record_load(&mut self, session: SessionId, server: ServerId, load: NodeLoad) {
         let Some(state) = self.sessions.get(session) else {
             return;
--- a/crates/engine/src/engine/players.rs
+++ b/crates/engine/src/engine/players.rs
@@ -1,4 +1,4 @@
-//! What players tell that can be offered another node: which epoch they play, and when they receive nothing.
+//! Events from players that support migration: which epoch they play, and when they receive no data.
 
 use super::Engine;
 use crate::output::Output;
@@ -8,7 +8,7 @@
 use shalewall_migration::Epoch;
 use shalewall_migration::coordinator::{self, MigrationCoordinator};
 
-/// A session's migrations, begun where its player has never followed before.
+/// The migration state of a session. It is created when the player subscribes for the first time.
 fn migration_of(session: &mut Session, server: ServerId) -> &mut SessionMigration {
     let migration = &mut session.migration;
     migration.get_or_insert_with(|| {
@@ -17,20 +17,20 @@
     })
 }
 
-/// When a session that began then is to end, as far as is known.
+/// The expected end of a session that started at `since`, if it has a duration hint.
 fn expected_end(session: &Session, since: Timestamp) -> Option<Timestamp> {
     let hint = session.request.duration_hint;
     hint.map(|duration| since + duration)
 }
 
 impl Engine {
-    /// A player can be offered another node from now on, and plays this epoch.
-    pub(super) fn player_follows(&mut self, session: SessionId, epoch: Epoch) {
+    /// A player has subscribed to its session's events and plays this epoch: it can be offered a migration from now on.
+    pub(super) fn player_subscribed(&mut self, session: SessionId, epoch: Epoch) {
         let Some(migrations) = &mut self.migrations else {
             return;
         };
         let Some(state) = self.sessions.get_mut(session) else {
-            return self.unknown_player_follows(session, epoch);
+            return self.unknown_player_subscribed(session, epoch);
         };
         let Stage::Playing { server, since, .. } = state.stage else {
             return;
@@ -38,7 +38,7 @@
         let ends_at = expected_end(state, since);
         state.awaits_player = false;
         let migration = migration_of(state, server);
-        migration.player_follows = true;
+        migration.player_subscribed = true;
         if !migrations.contains(session) {
             migrations.add_session(self.now, session, server, ends_at);
             if migration.coordinator.is_orphaned() {
@@ -49,21 +49,21 @@
         self.drive_migration(session);
     }
 
-    fn unknown_player_follows(&mut self, session: SessionId, epoch: Epoch) {
+    fn unknown_player_subscribed(&mut self, session: SessionId, epoch: Epoch) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
         if recovery.is_collecting() || !self.nodes.is_covered_by(recovery.reported()) {
-            // A node that has not reported yet may hold it.
+            // A node that has not reported yet may hold the session.
             recovery.add_player(session, epoch);
         } else {
-            // Over already: its player has not heard so.
+            // The session is over, but its player has not been notified.
             self.outputs.push_back(Output::SessionEnded { session });
         }
     }
 
-    /// A player can't be offered another node any more.
-    pub(super) fn player_stopped_following(&mut self, session: SessionId) {
+    /// A player has closed its event stream: it can't be offered a migration any more.
+    pub(super) fn player_unsubscribed(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get_mut(session) else {
             if let Some(recovery) = &mut self.recovery {
                 recovery.remove_player(session);
@@ -77,12 +77,12 @@
             return;
         }
         if let Some(migration) = &mut state.migration {
-            migration.player_follows = false;
+            migration.player_subscribed = false;
         }
         migrations.remove_session(session);
     }
 
-    /// A player receives nothing.
+    /// A player reports that it receives no data.
     pub(super) fn stream_silent(&mut self, session: SessionId, buffered: TimeDelta) {
         let Some(migrations) = &mut self.migrations else {
             return;
--- a/crates/engine/src/engine/recovery.rs
+++ b/crates/engine/src/engine/recovery.rs
@@ -1,4 +1,4 @@
-//! A director that starts anew goes on with the sessions of the process before it, as nodes hold them.
+//! After a restart, the director resumes the sessions of its earlier process from what nodes hold.
 
 use super::Engine;
 use crate::input::TransferredSession;
@@ -11,7 +11,8 @@
 use shalewall_migration::coordinator::{self, MigrationCoordinator, NodeReport};
 use shalewall_migration::planner::MigrationReason;
 
-/// The epochs that an earlier process used are not known: those of this one begin so far above the ones found.
+/// The latest epoch that an earlier process used is not known, so this process starts this far above the greatest one
+/// that nodes report.
 const EPOCH_MARGIN: u32 = 1_000;
 
 fn end_of(copy: &HeldCopy) -> EndKey {
@@ -22,7 +23,7 @@
     }
 }
 
-/// A target that an earlier process chose, and that is ready.
+/// A migration target that was selected by an earlier process and is ready.
 fn ready_target(server: ServerId, held: &TransferredSession, now: Timestamp) -> MigrationTarget {
     MigrationTarget {
         media: Some(held.media.clone()),
@@ -32,7 +33,7 @@
 }
 
 impl Engine {
-    /// A node reports what it holds, on a new event stream.
+    /// A node reports the sessions that it holds, on a new event stream.
     pub(super) fn node_sessions_reported(
         &mut self,
         server: ServerId,
@@ -53,7 +54,7 @@
             return;
         };
         recovery.node_reported(server);
-        // All have reported; or one has that was out of reach before.
+        // Either all nodes have reported, or one that was unreachable during recovery has done so now.
         if !recovery.is_collecting() || self.nodes.is_covered_by(recovery.reported()) {
             self.recover_sessions();
         }
@@ -72,7 +73,7 @@
         }
     }
 
-    /// A node reports a session that has gone on already: its player may have switched to that node before this
+    /// A node reports a session that has already been resumed: its player may have switched to that node before this
     /// process started.
     fn late_copy_reported(&mut self, copy: &HeldCopy) {
         let HeldCopy {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Goes on with a migration that an earlier process had started.
+    /// Resumes a migration that an earlier process had started.
     fn resume_target(&mut self, server: ServerId, held: &TransferredSession) {
         let now = self.now;
         if let Some(migration) = self.sessions.migration_mut(held.session) {
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Goes on with all that was reported: where it is served, under the greatest epoch. Migrations that were under
-    /// way are finished or undone, as their targets say. What no node serves ends.
+    /// Resumes the reported sessions at the nodes that serve them under the greatest epoch. Migrations that were in
+    /// progress are completed or aborted, depending on the target's state. Sessions that no node serves are ended.
     fn recover_sessions(&mut self) {
         let Some(recovery) = &mut self.recovery else {
             return;
@@ -124,18 +125,18 @@
             }
         }
         for (session, epoch) in recovered.players {
-            self.player_follows(session, epoch);
+            self.player_subscribed(session, epoch);
         }
         let failed = self
             .recovery
             .as_mut()
             .map(|recovery| recovery.take_failed());
         for server in failed.unwrap_or_default() {
-            self.lose_sessions(server, Timestamp::MAX, &[]);
+            self.handle_lost_sessions(server, Timestamp::MAX, &[]);
         }
     }
 
-    /// Goes on with one session. False: no node serves it, or what it was set up with is not known any more.
+    /// Resumes one session. Returns `false` if no node serves it, or if its tenant, class or title is no longer known.
     fn resume_session(&mut self, session: SessionId, copies: &[HeldCopy]) -> bool {
         let reports = copies.iter().map(|copy| NodeReport {
             node: copy.server,
@@ -158,7 +159,7 @@
         if !self.insert_recovered(serving, coordinator) {
             return false;
         }
-        // One of the other copies is where a migration was on its way to; the rest is behind.
+        // One of the other copies may be the target of a migration in progress; the rest are outdated.
         for copy in copies.iter().filter(|copy| copy.server != node) {
             if Some(copy.server) == target {
                 self.resume_target(copy.server, &copy.session);
@@ -170,7 +171,7 @@
         true
     }
 
-    /// Adds a session as its node holds it. False: its names stand for nothing any more.
+    /// Adds a session as its node holds it. Returns `false` if its tenant, class or title is no longer known.
     fn insert_recovered(&mut self, copy: &HeldCopy, coordinator: MigrationCoordinator) -> bool {
         let held = &copy.session;
         let resolved = self
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Viewers' requests: admitted, coalesced with an earlier one under the same key, withdrawn and answered.
+//! Viewers' requests: admitted, coalesced with an earlier request under the same key, withdrawn and answered.
 
 use super::Engine;
 use crate::catalogue::{ResolvedNames, UnknownName};
@@ -10,27 +10,27 @@
 use shalewall::{Event, Request, SessionId, TimeDelta};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What becomes of a request whose key stands for a session.
+/// How a request is handled whose key belongs to an existing session.
 enum Coalesced {
-    /// It has its answer at once.
+    /// It is answered at once.
     Answered(Answer),
-    /// It waits for the same answer.
+    /// It waits for the session's answer.
     Waiting,
-    /// The session is over for the viewer: what is left of it ends, and a new one begins.
+    /// The session is over for the viewer: it is ended, and a new one starts.
     SessionOver,
 }
 
-/// A viewer's key is unique among those of its tenant.
+/// Hashes a viewer's key together with its tenant, since keys are unique within a tenant only.
 fn viewer_hash(request: &SessionRequest) -> u64 {
     let tenant = request.tenant.as_deref().unwrap_or("");
     xxh3_64(format!("{tenant}\n{}", request.viewer_key).as_bytes())
 }
 
-/// What becomes of a request under the key of this session.
+/// Decides how to handle a request under the key of this session.
 fn coalesce(session: &Session, request: &SessionRequest) -> Coalesced {
     let is_same = session.class == request.class && session.title == request.title;
     match &session.stage {
-        Stage::Leaving { .. } => Coalesced::SessionOver,
+        Stage::Ending { .. } => Coalesced::SessionOver,
         Stage::Playing { .. } if request.is_retry => Coalesced::SessionOver,
         _ if !is_same => Coalesced::Answered(Answer::Conflict(
             "the key is in use for another title or class",
@@ -40,7 +40,7 @@
             rung: session.rung,
             media: media.clone(),
         }),
-        // No request waits for it any more: its viewer left, and the decision module was told so.
+        // The viewer left, so no request waits for it any more; the decision module has been notified.
         Stage::SettingUp(_) if session.waiting.is_empty() => Coalesced::Answered(Answer::Conflict(
             "an earlier request with this key is still being ended",
         )),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether a request is answered, or waits, by the session that its key stands for.
+    /// Coalesces a request with the session of its key. Returns whether the request was answered or waits for it.
     fn coalesce_request(
         &mut self,
         request_id: RequestId,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// What a request's names stand for, if it is admitted; its answer if it is not.
+    /// Admits a request and resolves its names. Returns the answer if it is not admitted.
     fn admit(&mut self, request: &SessionRequest) -> Result<ResolvedNames, Answer> {
         let tenant = request.tenant.as_deref();
         let resolved = self
@@ -104,7 +104,7 @@
             .resolve(tenant, &request.class, &request.title);
         let names = match resolved {
             Ok(names) => Some(names),
-            // Admission control may know better: before the first update of tenants nobody is unknown.
+            // Admission control decides: before the first update of tenants, it does not treat any tenant as unknown.
             Err(UnknownName::Tenant) => None,
             Err(name) => return Err(Answer::Unknown(name.kind())),
         };
@@ -126,11 +126,11 @@
         &mut self,
         request_id: RequestId,
         viewer: u64,
-        asked: SessionRequest,
+        session_request: SessionRequest,
         names: ResolvedNames,
     ) {
         self.catalogue.acquire(names.class, names.tenant);
-        let max_wait = asked.max_wait.unwrap_or(names.max_wait);
+        let max_wait = session_request.max_wait.unwrap_or(names.max_wait);
         let request = Request {
             session: self.sessions.allocate_id(),
             class: names.class,
@@ -138,19 +138,19 @@
             viewer,
             title: names.title,
             deadline: self.now + max_wait.clamp(TimeDelta::ZERO, names.max_wait),
-            duration_hint: asked.duration_hint,
+            duration_hint: session_request.duration_hint,
             first_cell: names.placement.first_cell,
             replica_cells: names.placement.replica_cells,
-            highest_rung: asked.highest_rung.unwrap_or(usize::MAX),
-            is_retry: asked.is_retry,
+            highest_rung: session_request.highest_rung.unwrap_or(usize::MAX),
+            is_retry: session_request.is_retry,
             fleet: names.fleet,
         };
         self.sessions.insert(Session {
             viewer,
             request,
-            title: asked.title,
-            tenant: asked.tenant,
-            class: asked.class,
+            title: session_request.title,
+            tenant: session_request.tenant,
+            class: session_request.class,
             stage: Stage::Deciding,
             attempts_sent: 0,
             earlier_attempts: 0,
@@ -181,7 +181,7 @@
                 self.remove_session(session);
             }
             Stage::SettingUp(_) => self.events.push_back(Event::RequestWithdrawn(session)),
-            Stage::Playing { .. } | Stage::Leaving { .. } => {}
+            Stage::Playing { .. } | Stage::Ending { .. } => {}
         }
     }
 
@@ -190,7 +190,7 @@
             .push_back(Output::Answer { request_id, answer });
     }
 
-    /// Gives all requests that wait the final answer. The session stays while an attempt of it is in flight.
+    /// Sends the final answer to all waiting requests. The session is kept while an attempt of it is in flight.
     pub(super) fn answer_session(&mut self, session: SessionId, answer: Answer) {
         for request_id in self.sessions.take_waiting(session) {
             self.answer_request(request_id, answer.clone());
--- a/crates/engine/src/engine/rungs.rs
+++ b/crates/engine/src/engine/rungs.rs
@@ -1,4 +1,4 @@
-//! Rungs of sessions that play: each change is sent to the node until it is confirmed.
+//! Rung changes of playing sessions: sent to the node until it confirms them.
 
 use super::Engine;
 use super::timer::Timer;
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Tells the node of a rung that it has not confirmed.
+    /// Sends the current rung to the node, if the node has not confirmed it.
     pub(super) fn send_rung(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get(session) else {
             return;
@@ -53,7 +53,8 @@
                 state.confirmed_rung = rung;
                 self.send_rung(session);
             }
-            // The node does not know it: its end is told on the event stream, or by what the node holds next time.
+            // The node does not know the session. Its end arrives on the event stream, or is detected from the list of
+            // held sessions when the stream opens again.
             CallResult::Answered {
                 status: 404 | 410, ..
             } => {}
--- a/crates/engine/src/engine/session_end.rs
+++ b/crates/engine/src/engine/session_end.rs
@@ -1,4 +1,4 @@
-//! The end of sessions: for the viewer at once, for the decision module when all nodes have confirmed.
+//! The end of sessions: immediate for the viewer, and reported to the decision module once all nodes have confirmed.
 
 use super::Engine;
 use crate::pending_ends::EndKey;
@@ -6,7 +6,7 @@
 use shalewall::{Event, LoadReport, Outcome, ServerId, SessionId};
 
 impl Engine {
-    /// Ends a session that plays. The decision module hears of it when the node has confirmed.
+    /// Ends a playing session. The decision module is notified when the node has confirmed the end.
     pub(super) fn end_session(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get_mut(session) else {
             return;
@@ -14,13 +14,13 @@
         let Some(server) = state.playing_at() else {
             return;
         };
-        state.stage = Stage::Leaving {
+        state.stage = Stage::Ending {
             server,
             outcome: Outcome::Success,
         };
         let viewer = state.viewer;
         let attempt = state.last_attempt();
-        // It is not over before the last of its nodes has confirmed: held until all ends are required.
+        // Counted as unconfirmed until all ends are required, so that the session is not finished in between.
         state.unconfirmed_ends += 1;
         self.sessions.release_viewer(viewer, session);
         self.stop_migration(session);
@@ -36,7 +36,7 @@
         self.finish_if_over(session);
     }
 
-    /// Ends what plays of a tenant; requests that wait have their answers as usual.
+    /// Ends the playing sessions of a tenant. Waiting requests are answered as usual.
     pub(super) fn end_tenant_sessions(&mut self, tenant: &str) {
         let ending = self
             .sessions
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Finishes a session that its viewer has left, once no request waits for it and no node holds it.
+    /// Finishes a session that its viewer has left, once no request waits for it and all nodes have confirmed its end.
     pub(super) fn finish_if_over(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get(session) else {
             return;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Tells the decision module that a session that had begun is over.
+    /// Removes a session that had started, and notifies the decision module that it is over.
     pub(super) fn finish_session(
         &mut self,
         session: SessionId,
@@ -78,7 +78,7 @@
         });
     }
 
-    /// Forgets a session and releases what it holds.
+    /// Removes a session and releases its numbers in the catalogue and its admission.
     pub(super) fn remove_session(&mut self, session: SessionId) {
         self.stop_migration(session);
         let Some(removed) = self.sessions.remove(session) else {
--- a/crates/engine/src/engine/tenants.rs
+++ b/crates/engine/src/engine/tenants.rs
@@ -1,4 +1,4 @@
-//! Agreements with tenants: the decision module hears of each change before the next request.
+//! Updates of tenants' terms: passed to the decision module before the next request.
 
 use super::Engine;
 use crate::input::TenantUpdate;
@@ -14,11 +14,11 @@
         self.config.settings.classes.clone_from(&classes);
         self.events
             .push_back(Event::SettingsUpdated { classes, tenants });
-        let moved = self.catalogue.assign_fleets();
+        let reassigned = self.catalogue.assign_fleets();
         let catalogue = &self.catalogue;
         let endpoints = self
             .nodes
-            .assign_fleets(&moved, |server| catalogue.fleet(server));
+            .assign_fleets(&reassigned, |server| catalogue.fleet(server));
         if !endpoints.is_empty() {
             self.events.push_back(Event::EndpointsUpdated {
                 update: EndpointUpdate::Delta,
--- a/crates/engine/src/engine/timer.rs
+++ b/crates/engine/src/engine/timer.rs
@@ -1,4 +1,4 @@
-//! What the engine's timers are for.
+//! The engine's timers.
 
 use crate::ids::CallId;
 use crate::pending_ends::EndKey;
@@ -6,16 +6,16 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The decision module set it, with this token.
+    /// A timer of the decision module, with its token.
     Policy(u64),
-    /// The attempt has had no answer in time.
+    /// A set-up attempt has had no answer in time.
     AttemptTimeout { session: SessionId, attempt: u32 },
-    /// The health check has had no answer in time.
+    /// A health check has had no answer in time.
     HealthCheckTimeout(CallId),
-    /// An end that its node has not confirmed is sent again.
+    /// An end that its node has not confirmed is to be sent again.
     SendEnd(EndKey),
-    /// A rung that its node has not confirmed is sent again.
+    /// A rung that its node has not confirmed is to be sent again.
     SendRung(SessionId),
-    /// A step of the session's migration is due.
+    /// A session's migration coordinator has a timeout.
     Migration(SessionId),
 }
--- a/crates/engine/src/ids.rs
+++ b/crates/engine/src/ids.rs
@@ -1,20 +1,20 @@
-//! Numbers that name what the engine and its driver speak of.
+//! Identifiers that are shared by the engine and its driver.
 
 use shalewall::SessionId;
 
-/// A viewer's request that waits for its answer, as the driver numbers them.
+/// Identifies a viewer's request; assigned by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A call to a node, as the engine numbers them.
+/// Identifies a call to a node; assigned by the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A set-up attempt of a session, as nodes name what they hold.
+/// A set-up attempt of a session, by which nodes identify what they hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionAttempt {
     /// The session.
     pub session: SessionId,
-    /// Number of the attempt, from 0 on.
+    /// Number of the attempt, starting with 0.
     pub attempt: u32,
 }
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -1,4 +1,4 @@
-//! What happens to a director, as its driver tells the engine. No logic lives here.
+//! The inputs that the driver passes to the engine. Data types only.
 
 use crate::config::TitlePlacement;
 use crate::ids::{CallId, RequestId, SessionAttempt};
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a viewer asks for.
+/// A viewer's request for a session.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SessionRequest {
-    /// The viewer's own idempotency key. While a session with it is under way, a further request gets that
+    /// The viewer's idempotency key. While a session with this key exists, another request with the same key gets that
     /// session's answer.
     pub viewer_key: String,
     /// The tenant whose viewer this is.
@@ -23,53 +23,54 @@
     pub class: String,
     /// Name of the title.
     pub title: String,
-    /// The viewer waits so long for the answer; at most what its class allows.
+    /// How long the viewer waits for the answer. Limited to the maximum of its class, which is also the default.
     pub max_wait: Option<TimeDelta>,
-    /// Estimate of how long it will watch.
+    /// Estimated viewing time.
     pub duration_hint: Option<TimeDelta>,
-    /// The highest rung that the player can use.
+    /// The highest rung that the player supports.
     pub highest_rung: Option<usize>,
-    /// A session with this key is over for the viewer, whatever is known of it here: begin anew.
+    /// Whether the viewer retries after it lost its session: an existing session with this key ends, and a new one
+    /// starts.
     pub is_retry: bool,
 }
 
-/// A class of a tenant's own.
+/// A class that belongs to one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassTerms {
-    /// The decision module's settings for it.
+    /// Settings of the class for the decision module.
     pub settings: ClassSettings,
-    /// The longest time that its viewers wait for an answer.
+    /// The maximum time that its viewers wait for an answer.
     pub max_wait: TimeDelta,
 }
 
-/// What is agreed with a tenant that the settings do not name.
+/// The terms of a tenant that is not part of the static settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantTerms {
-    /// Its weight in the fleet that all share, over the sum of all weights; without one it takes nothing new.
+    /// Its weight in the shared fleet, relative to the sum of all weights. Without one it accepts no new sessions.
     pub quota: Option<f64>,
-    /// Its classes; without any it has the site's.
+    /// Its classes. If empty, the site's classes apply.
     pub classes: BTreeMap<String, ClassTerms>,
-    /// Its titles; without any it has the site's.
+    /// Its titles. If empty, the site's titles apply.
     pub titles: BTreeMap<String, TitlePlacement>,
-    /// Nodes of its own, which take no other tenant's sessions; without any it has those that all share.
+    /// Its dedicated nodes, which accept no other tenant's sessions. If empty, it uses the shared nodes.
     pub nodes: Vec<ServerId>,
 }
 
-/// A change of what is agreed with one tenant.
+/// A change of one tenant's terms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantUpdate {
     /// The tenant's name.
     pub tenant: String,
-    /// What is agreed from now on; nothing: the tenant is gone.
+    /// The new terms, or `None` if the tenant has been removed.
     pub terms: Option<TenantTerms>,
 }
 
-/// One entry of the endpoint list, in names.
+/// One entry of the endpoint list, with zone and machine kind by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// The node.
     pub server: ServerId,
-    /// Where it listens. Entries of nodes that are gone need none.
+    /// The address on which it listens. Not required for nodes that are gone.
     pub address: Option<SocketAddr>,
     /// Name of its zone.
     pub zone: String,
@@ -77,44 +78,44 @@
     pub machine_kind: String,
     /// Its cell.
     pub cell: u64,
-    /// Whether it may take sessions.
+    /// Whether it accepts sessions.
     pub state: EndpointState,
     /// Its capacity relative to other nodes.
     pub weight: f64,
-    /// Its last start, on the engine's clock.
+    /// The time of its last start, on the engine's clock.
     pub started_at: Option<Timestamp>,
 }
 
-/// How a call to a node ended.
+/// The result of a call to a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallResult {
-    /// Nothing left this machine, for want of a resource of its own: it says nothing of the node.
+    /// Nothing was sent, because a local resource was exhausted. This says nothing about the node.
     NotSent(String),
-    /// No connection took a byte of it: the call was not executed.
+    /// No byte was written to a connection: the call was not executed.
     NotStarted(String),
-    /// A connection took some of it, and no complete answer came: the call may have been executed.
+    /// At least a part was written, but no complete answer arrived: the call may have been executed.
     MaybeExecuted(String),
-    /// A complete answer.
+    /// A complete answer arrived.
     Answered {
         /// The HTTP status.
         status: u16,
-        /// The answer states that nothing was set up.
+        /// Whether the answer states that nothing was set up.
         not_started: bool,
-        /// The node's load, as far as the answer tells it.
+        /// The node's load, as far as the answer reports it.
         load_report: LoadReport,
-        /// Where the viewer finds the stream.
+        /// The URL of the stream.
         media: Option<String>,
     },
 }
 
-/// A session that a node holds, with all that a director which starts anew needs to go on with it.
+/// A session that a node holds, with everything that a restarted director needs to resume it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferredSession {
     /// The session.
     pub session: SessionId,
     /// Number of the attempt that set it up.
     pub attempt: u32,
-    /// Hash of the viewer's key, as the director that set it up had it.
+    /// Hash of the viewer's key, as the director that set up the session computed it.
     pub viewer: u64,
     /// The tenant whose viewer this is.
     pub tenant: Option<String>,
@@ -122,38 +123,38 @@
     pub class: String,
     /// Name of its title.
     pub title: String,
-    /// The rung that it plays at.
+    /// The rung at which it plays.
     pub rung: usize,
-    /// The epochs under which the node serves it, or is ready to.
+    /// The epochs that the node serves or has prepared.
     pub epochs: SessionEpochs,
-    /// Where the viewer finds the stream.
+    /// The URL of the stream.
     pub media: String,
 }
 
-/// What a node tells on its event stream.
+/// An event on a node's event stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
-    /// The session has ended there: its viewer left, or it was complete.
+    /// The session has ended at the node: its viewer left, or the title was played to its end.
     SessionEnded {
         /// The session.
         session: SessionId,
         /// The attempt that set it up.
         attempt: u32,
     },
-    /// The player of a session that migrates to this node has fetched its stream.
+    /// The player of a session that is migrating to this node has fetched the stream.
     StreamFetched {
         /// The session.
         session: SessionId,
         /// The attempt that set it up.
         attempt: u32,
-        /// The epoch under which it was fetched.
+        /// The epoch that was fetched.
         epoch: Epoch,
     },
-    /// The node's load, reported with one of the sessions there.
+    /// The node's load, reported with one of its sessions.
     LoadReported {
         /// The session.
         session: SessionId,
-        /// Part of the rate that reaches the viewers.
+        /// Fraction of the sessions' rate that reaches the viewers.
         delivered_fraction: Option<f64>,
         /// Utilization of the node's link.
         link_utilization: Option<f64>,
@@ -162,98 +163,98 @@
     },
 }
 
-/// What happens to a director.
+/// An input of the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A viewer asks for a session.
+    /// A viewer requests a session.
     RequestReceived {
-        /// The driver's number of the request.
+        /// The request, by the driver's number.
         request_id: RequestId,
-        /// What the viewer asks for.
+        /// The content of the request.
         request: SessionRequest,
     },
-    /// The viewer left before its answer.
+    /// The viewer disconnected before it was answered.
     RequestWithdrawn {
-        /// The driver's number of the request.
+        /// The request, by the driver's number.
         request_id: RequestId,
     },
-    /// The viewer ends its session.
+    /// The viewer ended its session.
     EndSession {
         /// The session.
         session: SessionId,
     },
-    /// The endpoint list, or a change of it.
+    /// The endpoint list, or an update of it.
     EndpointsUpdated {
-        /// Whether `endpoints` are all or those that changed.
+        /// Whether `endpoints` is the complete list or only the changed entries.
         update: EndpointUpdate,
         /// The entries.
         endpoints: Vec<EndpointEntry>,
     },
-    /// A call to a node is over.
+    /// A call to a node has finished.
     CallFinished {
         /// The call.
         call: CallId,
-        /// How it ended.
+        /// Its result.
         result: CallResult,
     },
-    /// What a node holds for this director, reported before [`Input::NodeConnected`]: sessions of an earlier process
-    /// of it go on where sessions can migrate.
+    /// The sessions that a node holds for this director, reported before [`Input::NodeConnected`]. Sessions of an
+    /// earlier process are resumed if migrations are enabled.
     NodeSessionsReported {
         /// The node.
         server: ServerId,
-        /// What it holds.
+        /// The sessions that it holds.
         sessions: Vec<TransferredSession>,
     },
-    /// A node's event stream is open.
+    /// A node's event stream has been opened.
     NodeConnected {
         /// The node.
         server: ServerId,
         /// When the stream was requested.
         requested_at: Timestamp,
-        /// What the node has held for this director since then or before.
+        /// The attempts that the node held for this director when it opened the stream.
         held: Vec<SessionAttempt>,
     },
-    /// A node tells something on its event stream.
+    /// A node sent an event on its event stream.
     NodeNotified {
         /// The node.
         server: ServerId,
-        /// What it tells.
+        /// The event.
         event: NodeEvent,
     },
-    /// A node's event stream broke and a new connection is refused: its process is gone.
+    /// A node's event stream broke and a new connection was refused: its process is gone.
     NodeDown {
         /// The node.
         server: ServerId,
     },
-    /// What is agreed with tenants changes. All of it or none, between two requests.
+    /// The terms of tenants have changed. The updates are applied together, between two requests.
     TenantsUpdated(Vec<TenantUpdate>),
-    /// A tenant's time is over: its playing sessions end now.
+    /// A deleted tenant's grace period is over: its playing sessions end now.
     EndTenantSessions {
         /// The tenant's name.
         tenant: String,
     },
-    /// A player that can be offered another node opened or closed its event stream.
+    /// A player that supports migration opened or closed its event stream.
     PlayerSubscription {
         /// The session.
         session: SessionId,
-        /// The epoch that it plays; none: it can't be offered another node any more.
+        /// The epoch that it plays, or `None` if it closed its event stream and can no longer be offered a target.
         playing_epoch: Option<Epoch>,
     },
-    /// A player receives no data.
+    /// A player reports that it receives no data.
     StreamSilent {
         /// The session.
         session: SessionId,
-        /// How much it has left to play.
+        /// Playing time left in its buffer.
         buffered: TimeDelta,
     },
-    /// A player has switched to this epoch.
+    /// A player has switched to an epoch.
     EpochPlaying {
         /// The session.
         session: SessionId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// A player received nothing of this epoch in time, and takes nothing of it any more.
+    /// A player received nothing of an epoch in time, and will not switch to it any more.
     EpochDeclined {
         /// The session.
         session: SessionId,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,19 +1,19 @@
-//! The sessions of one director, between what passes on sockets and the decisions: a state machine without I/O and
-//! without a clock, in the manner of quinn-proto beside quinn. [`Engine::handle`] takes what happened and the time,
-//! [`Engine::poll_output`] gives what is to be done, [`Engine::poll_timeout`] when to call
-//! [`Engine::handle_timeout`]. Equal inputs give equal outputs, whatever drives the engine.
+//! The sessions of one director: a sans-I/O state machine between the network layer and the decision module, without
+//! a clock, in the manner of quinn-proto. [`Engine::handle`] takes an input and the current time,
+//! [`Engine::poll_output`] returns the next output, and [`Engine::poll_timeout`] the time at which
+//! [`Engine::handle_timeout`] is due. The same inputs always give the same outputs.
 //!
-//! The crate knows sessions, calls, nodes by id and address, and the decision module's events and actions. It must
-//! not know sockets, HTTP, files or a clock. It leaves to the decision module where a session goes, at which rung,
-//! and whether it is tried again or rejected. Its own duties: each viewer's request gets one answer; whatever a node
-//! may still hold of a session that is over is ended there; and each attempt's outcome tells whether it was not
-//! started or may have been executed.
+//! The crate deals with sessions, calls, nodes by id and address, and the decision module's events and actions. It
+//! must not depend on sockets, HTTP, files or a clock. The decision module chooses the node and the rung of a session
+//! and whether an attempt is retried or rejected. The engine guarantees that each viewer's request gets one answer,
+//! that a session which is over is ended at every node that may still hold it, and that the outcome of each attempt
+//! distinguishes "not started" from "may have been executed".
 //!
-//! Each state has one owner with methods on itself, and no owner knows another: [`catalogue`] (names),
-//! `session_table` (sessions and waiting requests), `call_table` (calls in flight), `pending_ends` (ends that nodes
-//! have not confirmed), `node_table` (the endpoint list), `migrations` (which sessions are to migrate) and
-//! `recovery` (what nodes hold of an earlier process). [`Engine`] holds them all; the modules below `engine` pass
-//! between them what one has found out and another must know.
+//! Each part of the state is owned by one module, and these modules do not depend on each other: [`catalogue`]
+//! (names), `session_table` (sessions and waiting requests), `call_table` (calls in flight), `pending_ends` (session
+//! ends that nodes have not confirmed), `node_table` (the endpoint list), `migrations` (which sessions are to
+//! migrate) and `recovery` (sessions of an earlier process that nodes still hold). [`Engine`] contains them all; the
+//! submodules of `engine` coordinate them.
 
 #![deny(missing_docs)]
 
--- a/crates/engine/src/migrations.rs
+++ b/crates/engine/src/migrations.rs
@@ -1,4 +1,4 @@
-//! Which sessions are to migrate, and why: the planner of this director, and what it waits for.
+//! Planning of migrations: wraps the director's planner and tracks the migration for which a target is requested.
 
 use crate::input::EndpointEntry;
 use shalewall::{EndpointState, ServerId, SessionId, TimeDelta, Timestamp};
@@ -7,18 +7,18 @@
 };
 use std::collections::BTreeMap;
 
-/// The decision module hears of a silent node again after this, while it lasts.
+/// Interval at which the decision module is notified again of a node that stays silent.
 const SILENCE_REPORT_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
-/// Migrations of all sessions.
+/// The planned and running migrations of all sessions.
 pub(crate) struct Migrations {
     policy: MigrationPolicy,
     planner: MigrationPlanner,
-    /// Something has happened that the planner may want a migration for.
+    /// Whether something has changed since the last planning that may require a migration.
     needs_planning: bool,
-    /// When the decision module last heard that a node is silent.
+    /// When the decision module was last notified that a node is silent.
     silence_reported_at: BTreeMap<ServerId, Timestamp>,
-    /// The migration that the decision module is being asked about.
+    /// The migration for which the decision module is selecting a target.
     requested: Option<DueMigration>,
 }
 
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Whether the planner has this session.
+    /// Whether the planner knows this session.
     pub fn contains(&self, session: SessionId) -> bool {
         self.planner.contains(session)
     }
 
-    /// A session's player can be offered another node from now on.
+    /// Adds a session whose player can be offered a migration.
     pub fn add_session(
         &mut self,
         now: Timestamp,
@@ -66,13 +66,14 @@
         self.planner.remove_session(session);
     }
 
-    /// No node serves a session any more.
+    /// Marks a session that no node serves any more.
     pub fn mark_orphaned(&mut self, now: Timestamp, session: SessionId) {
         self.planner.mark_orphaned(now, session);
         self.needs_planning = true;
     }
 
-    /// A player receives nothing. Returns the silent nodes that the decision module has not heard of lately.
+    /// Records that a player receives no data. Returns the silent nodes of which the decision module has not been
+    /// notified within [`SILENCE_REPORT_INTERVAL`].
     pub fn report_silence(
         &mut self,
         now: Timestamp,
@@ -93,7 +94,7 @@
             .report_delivery(now, server, delivered_fraction);
     }
 
-    /// What the endpoint list says of nodes, as far as it is a reason to migrate.
+    /// Passes the draining state of nodes to the planner.
     pub fn update_endpoints(&mut self, now: Timestamp, entries: &[EndpointEntry]) {
         for entry in entries {
             let draining = entry.state == EndpointState::Draining;
@@ -102,7 +103,7 @@
         self.needs_planning = true;
     }
 
-    /// The migrations that are to start now.
+    /// Returns the migrations that are due, if planning is needed.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<DueMigration> {
         if !std::mem::take(&mut self.needs_planning) {
             return Vec::new();
@@ -110,12 +111,13 @@
         self.planner.due_migrations(now)
     }
 
-    /// The decision module is asked for this migration's target.
+    /// Records the migration for which a target is requested from the decision module.
     pub fn set_requested(&mut self, migration: DueMigration) {
         self.requested = Some(migration);
     }
 
-    /// The decision module found a target. Returns why the session is to migrate, if it may do so now.
+    /// Takes the requested migration when the decision module has found a target. Returns its reason if the target can
+    /// accept one more migration now.
     pub fn take_requested(
         &mut self,
         session: SessionId,
@@ -126,8 +128,8 @@
         self.planner.can_accept(target).then_some(requested.reason)
     }
 
-    /// By when a target has to be ready: half of what a migration takes, so that a player's buffer lasts for another
-    /// one.
+    /// The time by which a target has to be ready: half the duration of a migration, so that the player's buffer lasts
+    /// for a second migration.
     pub fn target_deadline(&self, now: Timestamp) -> Timestamp {
         now + self.policy.duration / 2
     }
@@ -136,7 +138,7 @@
         self.planner.migration_started(session, target);
     }
 
-    /// The decision module found no target.
+    /// Defers a migration for which the decision module found no target.
     pub fn defer(&mut self, now: Timestamp, session: SessionId) {
         self.planner.defer_migration(now, session);
     }
--- a/crates/engine/src/node_table.rs
+++ b/crates/engine/src/node_table.rs
@@ -1,5 +1,4 @@
-//! The endpoint list as this director holds it: addresses for calls, and the entries as the decision module last
-//! heard them.
+//! The current endpoint list: addresses for calls, and the entries as last passed to the decision module.
 
 use crate::config::Config;
 use crate::input::EndpointEntry;
@@ -7,26 +6,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Nodes that are listed.
+/// The listed nodes.
 #[derive(Default)]
 pub(crate) struct NodeTable {
     addresses: BTreeMap<ServerId, SocketAddr>,
-    /// The list as the decision module last heard it.
+    /// The list as last passed to the decision module.
     endpoints: BTreeMap<ServerId, Endpoint>,
 }
 
-/// A node and where it listens.
+/// A node and the address on which it listens.
 pub(crate) struct NodeAddress {
     pub server: ServerId,
     pub address: SocketAddr,
 }
 
-/// What an update of the list changed.
+/// The changes made by an update of the list.
 #[derive(Default)]
 pub(crate) struct NodeChanges {
-    /// Nodes that are new, or listen elsewhere now.
+    /// Nodes that are new or have a new address.
     pub added: Vec<NodeAddress>,
-    /// Nodes that are listed no more.
+    /// Nodes that are no longer listed.
     pub removed: Vec<ServerId>,
 }
 
@@ -39,12 +38,12 @@
         self.addresses.get(&server).copied()
     }
 
-    /// Whether every listed node is one of these.
+    /// Whether `servers` contains every listed node.
     pub fn is_covered_by(&self, servers: &BTreeSet<ServerId>) -> bool {
         self.addresses.keys().all(|server| servers.contains(server))
     }
 
-    /// Takes the addresses out of an update.
+    /// Applies the addresses of an update.
     pub fn update_addresses(
         &mut self,
         update: EndpointUpdate,
@@ -77,7 +76,7 @@
         changes
     }
 
-    /// Keeps the list as the decision module hears it.
+    /// Records the entries that are passed to the decision module.
     pub fn record_endpoints(&mut self, update: EndpointUpdate, endpoints: &[Endpoint]) {
         if is_complete(update) {
             self.endpoints.clear();
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Assigns nodes to other fleets. Returns their entries as they are now.
+    /// Sets the fleets of these nodes. Returns their updated entries.
     pub fn assign_fleets(
         &mut self,
         servers: &[ServerId],
@@ -107,7 +106,7 @@
     }
 }
 
-/// An entry as the decision module wants it: names become numbers.
+/// Converts an entry for the decision module: names become numbers.
 pub(crate) fn endpoint_from(entry: &EndpointEntry, config: &Config, fleet: u32) -> Endpoint {
     let kinds = &config.machine_kinds;
     Endpoint {
--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -1,4 +1,4 @@
-//! What the engine has its driver do. No logic lives here.
+//! The outputs that the engine's driver carries out. Data types only.
 
 use crate::ids::{CallId, RequestId};
 use shalewall::{Outcome, ServerId, SessionId, TimeDelta};
@@ -13,41 +13,41 @@
     Playing {
         /// The session.
         session: SessionId,
-        /// The rung that it begins at.
+        /// The rung at which playback starts.
         rung: usize,
-        /// Where the viewer finds the stream.
+        /// The URL of the stream.
         media: String,
     },
-    /// Rejected; nothing was executed, and the viewer may come back.
+    /// Rejected: nothing was executed, and the viewer may retry.
     Rejected {
-        /// The session, where one was begun.
+        /// The session, if one was created.
         session: Option<SessionId>,
-        /// How long to wait before coming back.
+        /// How long the viewer should wait before it retries.
         retry_after: Option<TimeDelta>,
     },
     /// Failed; the set-up may have been executed.
     Failed {
         /// The session.
         session: SessionId,
-        /// The viewer's deadline had passed.
+        /// Whether the viewer's deadline has passed.
         is_deadline_exceeded: bool,
     },
-    /// The request names a tenant, class or title that is not known here; which of these.
+    /// The request names an unknown tenant, class or title. The string says which of the three.
     Unknown(&'static str),
-    /// The request's key is in use by another one; why that is in the way.
+    /// The request's idempotency key is in use by a conflicting request or session. The string gives the reason.
     Conflict(&'static str),
 }
 
 /// A call to a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallKind {
-    /// Begin a session.
+    /// Set up a session.
     SetUpSession {
         /// The session.
         session: SessionId,
         /// Number of the attempt.
         attempt: u32,
-        /// Hash of the viewer's key, kept by the node for a director that starts anew.
+        /// Hash of the viewer's key. The node stores it, so that a restarted director can recover the session.
         viewer: u64,
         /// The tenant whose viewer this is.
         tenant: Option<String>,
@@ -55,9 +55,9 @@
         class: String,
         /// Name of the title.
         title: String,
-        /// The rung to begin at.
+        /// The rung at which playback starts.
         rung: usize,
-        /// Its rate.
+        /// Rate of the rung, kB/s.
         rate_kb_s: f64,
     },
     /// Change a session's rung.
@@ -68,27 +68,27 @@
         attempt: u32,
         /// The new rung.
         rung: usize,
-        /// Its rate.
+        /// Rate of the rung, kB/s.
         rate_kb_s: f64,
     },
-    /// End whatever runs there under this attempt, and let nothing of it begin any more.
+    /// End whatever the node runs for this attempt, and reject anything of it that arrives later.
     EndSession {
         /// The session.
         session: SessionId,
         /// Number of the attempt.
         attempt: u32,
-        /// With an epoch, what is held under later ones goes on, and may begin.
+        /// If given, only epochs up to this one end: later ones continue, and may still start.
         up_to_epoch: Option<Epoch>,
     },
-    /// Make ready to take a session over from another node.
+    /// Prepare to take a session over from another node.
     PrepareMigration {
         /// The session.
         session: SessionId,
         /// Number of the attempt that set it up.
         attempt: u32,
-        /// The epoch under which it is to be served.
+        /// The epoch under which the target will serve it.
         epoch: Epoch,
-        /// The node that serves it now.
+        /// The node that currently serves it.
         from: ServerId,
         /// Hash of the viewer's key.
         viewer: u64,
@@ -98,12 +98,12 @@
         class: String,
         /// Name of the title.
         title: String,
-        /// The rung to go on at.
+        /// The rung at which the target continues.
         rung: usize,
-        /// Its rate.
+        /// Rate of the rung, kB/s.
         rate_kb_s: f64,
     },
-    /// Let nobody fetch what is ready under this epoch any more; status 409 where it has been fetched.
+    /// Cancel what is prepared under this epoch. The node answers with status 409 if it has already been fetched.
     CancelMigration {
         /// The session.
         session: SessionId,
@@ -112,41 +112,41 @@
         /// The epoch.
         epoch: Epoch,
     },
-    /// See whether the node answers.
+    /// Check that the node responds.
     CheckHealth,
 }
 
-/// What the driver has to do.
+/// An operation that the driver has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Answer a viewer's request.
     Answer {
-        /// The driver's number of the request.
+        /// The request, by the driver's number.
         request_id: RequestId,
-        /// Its final answer.
+        /// The final answer.
         answer: Answer,
     },
-    /// Call a node; [`crate::Input::CallFinished`] tells how that ended.
+    /// Call a node. [`crate::Input::CallFinished`] reports the result.
     Call {
         /// The call.
         call: CallId,
         /// The node.
         server: ServerId,
-        /// Where the node listens.
+        /// The address on which the node listens.
         address: SocketAddr,
-        /// What to call for.
+        /// The operation that the call requests.
         kind: CallKind,
     },
-    /// Give the call up and close its connection. No [`crate::Input::CallFinished`] follows for it.
+    /// Abort the call and close its connection. No [`crate::Input::CallFinished`] follows for it.
     CancelCall {
         /// The call.
         call: CallId,
     },
-    /// Keep this node's event stream open.
+    /// Keep an event stream from this node open.
     WatchNode {
         /// The node.
         server: ServerId,
-        /// Where it listens.
+        /// The address on which it listens.
         address: SocketAddr,
     },
     /// Close this node's event stream and its connections.
@@ -154,39 +154,39 @@
         /// The node.
         server: ServerId,
     },
-    /// Close the connections to this node that are not in use.
+    /// Close the idle connections to this node.
     CloseIdleConnections {
         /// The node.
         server: ServerId,
     },
-    /// Tell the session's player where it may fetch.
+    /// Offer the session's player the target of its migration.
     OfferMigration {
         /// The session.
         session: SessionId,
-        /// The epoch under which it may fetch.
+        /// The epoch that the target serves.
         epoch: Epoch,
-        /// Where.
+        /// The URL of the stream at the target.
         media: String,
     },
-    /// Tell a player that follows its session's events that the session is over.
+    /// Notify a player that subscribes to its session's events that the session is over.
     SessionEnded {
         /// The session.
         session: SessionId,
     },
-    /// A migration is over, for the record.
+    /// A migration is over; reported for logs and metrics.
     MigrationFinished {
         /// The session.
         session: SessionId,
-        /// The node that it was to migrate to.
+        /// The target node.
         to: ServerId,
-        /// MigrationReason.
+        /// Why the session was to migrate.
         reason: MigrationReason,
-        /// How long that took.
+        /// Time from the start to the end.
         duration: TimeDelta,
-        /// It plays at its target now.
+        /// Whether the session now plays at the target.
         migrated: bool,
     },
-    /// A set-up attempt is over, for the record.
+    /// A set-up attempt is over; reported for logs and metrics.
     AttemptFinished {
         /// The session.
         session: SessionId,
@@ -194,16 +194,16 @@
         attempt: u32,
         /// The node that was called.
         server: ServerId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// How long that took.
+        /// Time from the start to the end.
         duration: TimeDelta,
     },
-    /// A line for the log.
+    /// A log line.
     Log(String),
 }
 
-/// A session as operators see it.
+/// A session as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SessionSummary {
     /// The session.
@@ -212,25 +212,25 @@
     pub class: String,
     /// Name of its title.
     pub title: String,
-    /// Where it plays, is being set up or is ending.
+    /// The node at which it plays, is being set up or is ending.
     pub server: Option<ServerId>,
     /// Its rung.
     pub rung: usize,
-    /// It plays.
+    /// Whether it plays.
     pub is_playing: bool,
 }
 
-/// How many sessions there are, by what is under way.
+/// Session counts by stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionCounts {
-    /// Not set up yet.
+    /// Sessions that are not set up yet.
     pub waiting: usize,
-    /// Set up and playing.
+    /// Sessions that are playing.
     pub playing: usize,
-    /// Over for their viewers, not yet at their nodes.
+    /// Sessions that are over for their viewers, but that a node may still hold.
     pub ending: usize,
-    /// Ends that nodes have not confirmed yet.
+    /// Session ends that nodes have not confirmed yet.
     pub unconfirmed_ends: usize,
-    /// Of those that play, how many are migrating.
+    /// Playing sessions that are migrating.
     pub migrating: usize,
 }
--- a/crates/engine/src/pending_ends.rs
+++ b/crates/engine/src/pending_ends.rs
@@ -1,20 +1,20 @@
-//! Attempts that nodes have to end and have not confirmed yet. An end is sent again until its node confirms it, since
-//! until then the node may hold the session, or begin it.
+//! Session attempts that nodes have to end and have not confirmed yet. The call is repeated until the node confirms
+//! the end, since until then it may hold the session or still start it.
 
 use crate::ids::CallId;
 use shalewall::{ServerId, SessionId, TimeDelta};
 use shalewall_migration::Epoch;
 use std::collections::BTreeMap;
 
-/// A call that a node must confirm is tried again after this, doubling up to [`MAX_RETRY_DELAY`].
+/// Initial delay between retries of a call that a node must confirm. It doubles up to [`MAX_RETRY_DELAY`].
 pub(crate) const RETRY_DELAY: TimeDelta = TimeDelta::from_millis(250);
 const MAX_RETRY_DELAY: TimeDelta = TimeDelta::from_secs(4);
-/// The delay doubles so often at most.
+/// Keeps the shift in [`backoff`] from overflowing; [`MAX_RETRY_DELAY`] is reached at this exponent.
 const MAX_DOUBLINGS: u32 = 4;
-/// How long to wait for a node's confirmation before the backoff begins.
+/// Time to wait for a node's confirmation, in addition to the backoff.
 const CONFIRMATION_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
 
-/// The attempt of a session that a node has to end.
+/// A session attempt that a node has to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EndKey {
     pub server: ServerId,
@@ -22,34 +22,34 @@
     pub attempt: u32,
 }
 
-/// An end that its node has not confirmed.
+/// A session end that its node has not confirmed.
 pub(crate) struct PendingEnd {
-    /// The call that is in flight for it.
+    /// The call in flight for it.
     pub call: Option<CallId>,
-    /// What the node holds under later epochs goes on; none: all ends, and nothing begins any more.
+    /// The greatest epoch that has to end: later ones continue. `None` ends all of them for good.
     pub up_to_epoch: Option<Epoch>,
-    tries: u32,
+    calls_sent: u32,
 }
 
-/// What became of an end that is required.
+/// How a required end relates to the ones that are already pending.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndRequirement {
-    /// It has not been required before.
+    /// It was not pending.
     New,
-    /// More epochs than before have to end.
+    /// It was pending, and more epochs have to end now.
     Extended,
-    /// As much was required before.
+    /// It was already pending, for at least these epochs.
     Unchanged,
 }
 
-/// One try of an end.
-pub(crate) struct EndTry {
-    /// An earlier call for the same end, which is not waited for any more.
+/// What is needed to send an end to its node.
+pub(crate) struct EndCall {
+    /// An earlier call for the same end that has to be cancelled.
     pub superseded: Option<CallId>,
     pub up_to_epoch: Option<Epoch>,
 }
 
-/// All ends that nodes have not confirmed.
+/// All session ends that nodes have not confirmed.
 #[derive(Default)]
 pub(crate) struct PendingEnds(BTreeMap<EndKey, PendingEnd>);
 
@@ -62,13 +62,13 @@
         self.0.contains_key(&key)
     }
 
-    /// A node has to end this, up to an epoch.
+    /// Requires a node to end an attempt, up to an epoch or completely.
     pub fn require(&mut self, key: EndKey, up_to_epoch: Option<Epoch>) -> EndRequirement {
         let Some(pending) = self.0.get_mut(&key) else {
             let pending = PendingEnd {
                 call: None,
                 up_to_epoch,
-                tries: 0,
+                calls_sent: 0,
             };
             self.0.insert(key, pending);
             return EndRequirement::New;
@@ -81,44 +81,44 @@
         EndRequirement::Extended
     }
 
-    /// Begins a try; nothing if the end is not pending any more.
-    pub fn begin_try(&mut self, key: EndKey) -> Option<EndTry> {
+    /// Prepares the next call for an end. Returns `None` if the end is no longer pending.
+    pub fn prepare_call(&mut self, key: EndKey) -> Option<EndCall> {
         let pending = self.0.get_mut(&key)?;
-        Some(EndTry {
+        Some(EndCall {
             superseded: pending.call.take(),
             up_to_epoch: pending.up_to_epoch,
         })
     }
 
-    /// A try was sent. Returns how long to wait for its answer.
+    /// Records a call that was sent for an end. Returns how long to wait for its answer.
     pub fn record_call(&mut self, key: EndKey, call: CallId) -> Option<TimeDelta> {
         let pending = self.0.get_mut(&key)?;
-        let timeout = CONFIRMATION_TIMEOUT + backoff(pending.tries);
+        let timeout = CONFIRMATION_TIMEOUT + backoff(pending.calls_sent);
         pending.call = Some(call);
-        pending.tries += 1;
+        pending.calls_sent += 1;
         Some(timeout)
     }
 
-    /// A try failed. Returns after what time to try again.
+    /// Records that the call for an end failed. Returns the delay before the next one.
     pub fn record_failure(&mut self, key: EndKey) -> Option<TimeDelta> {
         let pending = self.0.get_mut(&key)?;
         pending.call = None;
-        Some(backoff(pending.tries))
+        Some(backoff(pending.calls_sent))
     }
 
-    /// The node has confirmed.
+    /// Removes an end that its node has confirmed.
     pub fn remove(&mut self, key: EndKey) -> Option<PendingEnd> {
         self.0.remove(&key)
     }
 
-    /// What one node has to end.
+    /// The ends that are pending at one node.
     pub fn at_server(&self, server: ServerId) -> Vec<EndKey> {
         let keys = self.0.keys();
         keys.filter(|key| key.server == server).copied().collect()
     }
 }
 
-fn backoff(tries: u32) -> TimeDelta {
-    let factor = 1 << tries.min(MAX_DOUBLINGS);
+fn backoff(calls_sent: u32) -> TimeDelta {
+    let factor = 1 << calls_sent.min(MAX_DOUBLINGS);
     (RETRY_DELAY * factor).min(MAX_RETRY_DELAY)
 }
--- a/crates/engine/src/policy.rs
+++ b/crates/engine/src/policy.rs
@@ -1,11 +1,11 @@
-//! What the engine asks others to decide: where sessions go ([`DecisionPolicy`]) and who is admitted
+//! Decisions that the engine delegates: the placement of sessions ([`DecisionPolicy`]) and the admission of requests
 //! ([`AdmissionControl`]).
 
 use shalewall::{Action, Director, Event, TimeDelta, Timestamp};
 
-/// What decides for an engine: the decision module, or a baseline to compare it with.
+/// Decides on the placement of an engine's sessions: the decision module, or a baseline for comparison.
 pub trait DecisionPolicy {
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -15,29 +15,29 @@
     }
 }
 
-/// What is said of a viewer's request before the decision module sees it.
+/// The admission decision on a viewer's request, made before it reaches the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be decided.
+    /// The request is passed to the decision module.
     Admitted,
-    /// Its tenant's quota is used up for now.
+    /// The tenant's quota is used up.
     Rejected {
-        /// How long the viewer waits before it comes back.
+        /// How long the viewer should wait before it retries.
         retry_after: TimeDelta,
     },
-    /// There is no such tenant, or it takes nothing new.
+    /// There is no such tenant, or it accepts no new sessions.
     UnknownTenant,
 }
 
-/// Who is admitted, where many tenants share a director. Each admission is released once, whatever becomes of it.
+/// Admission control of a director that many tenants share. Each admission is released exactly once.
 pub trait AdmissionControl {
-    /// Admits a request of this tenant, or not.
+    /// Decides whether a request of this tenant is admitted.
     fn admit(&mut self, now: Timestamp, tenant: Option<&str>) -> Admission;
-    /// A request that was admitted, or its session, is over.
+    /// Releases an admission: the request failed, or its session is over.
     fn release(&mut self, now: Timestamp, tenant: Option<&str>);
 }
 
-/// Everyone is admitted whose tenant the settings name.
+/// Admits all requests without a tenant, or with a tenant that the settings name.
 pub(crate) struct AdmitKnownTenants(pub Vec<String>);
 
 impl AdmissionControl for AdmitKnownTenants {
--- a/crates/engine/src/recovery.rs
+++ b/crates/engine/src/recovery.rs
@@ -1,5 +1,5 @@
-//! What nodes hold of an earlier process of this director, collected until all nodes have reported or the time for it
-//! is over; then the sessions go on.
+//! Sessions of an earlier process of this director that nodes still hold. Reports are collected until all nodes have
+//! reported or the timeout has expired; then the sessions are resumed.
 
 use crate::input::TransferredSession;
 use shalewall::{ServerId, SessionId, TimeDelta, Timestamp};
@@ -7,32 +7,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::take;
 
-/// Nodes may report for so long before their sessions go on.
+/// How long to wait for the reports of nodes before sessions are resumed.
 const REPORT_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
 
-/// What one node holds of a session.
+/// A session as held by one node.
 pub(crate) struct HeldCopy {
     pub server: ServerId,
     pub session: TransferredSession,
 }
 
-/// What goes on once nodes have reported.
+/// The sessions and players to resume.
 pub(crate) struct RecoveredSessions {
-    /// All copies of each session, in the order in which nodes reported.
+    /// The copies of each session, in the order in which nodes reported them.
     pub sessions: BTreeMap<SessionId, Vec<HeldCopy>>,
-    /// Players that follow already, and the epochs that they play.
+    /// Players that have already subscribed, and the epochs that they play.
     pub players: BTreeMap<SessionId, Epoch>,
 }
 
-/// Reports of nodes.
+/// The collected reports of nodes.
 pub(crate) struct Recovery {
-    /// Copies that do not go on yet.
+    /// Copies of sessions that have not been resumed yet.
     copies: BTreeMap<SessionId, Vec<HeldCopy>>,
-    /// Until when to wait for nodes that have not reported; none once that is over.
+    /// When to stop waiting for nodes that have not reported; `None` once collecting has ended.
     deadline: Option<Timestamp>,
     waiting_players: BTreeMap<SessionId, Epoch>,
     reported: BTreeSet<ServerId>,
-    /// Nodes that have failed since the start, before what they reported went on.
+    /// Nodes that failed while reports were collected, before their sessions were resumed.
     failed: BTreeSet<ServerId>,
 }
 
@@ -55,17 +55,17 @@
         self.deadline.is_some_and(|deadline| deadline <= now)
     }
 
-    /// Whether reports are still collected.
+    /// Whether reports are still being collected.
     pub fn is_collecting(&self) -> bool {
         self.deadline.is_some()
     }
 
-    /// Nodes that have nothing more to report.
+    /// Nodes from which no further report is expected.
     pub fn reported(&self) -> &BTreeSet<ServerId> {
         &self.reported
     }
 
-    /// Whether nodes have reported a session that does not go on yet.
+    /// Whether a session has been reported and not resumed yet.
     pub fn contains(&self, session: SessionId) -> bool {
         self.copies.contains_key(&session)
     }
@@ -75,13 +75,13 @@
         copies.push(copy);
     }
 
-    /// A node has reported all that it holds.
+    /// Records that a node has reported all its sessions.
     pub fn node_reported(&mut self, server: ServerId) {
         self.reported.insert(server);
         self.failed.remove(&server);
     }
 
-    /// A node has failed: it has nothing more to report.
+    /// Records that a node has failed, so that no report is expected from it.
     pub fn node_failed(&mut self, server: ServerId) {
         if self.is_collecting() {
             self.failed.insert(server);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A player follows a session that is not known yet.
+    /// Records a player that has subscribed to a session which is not known yet.
     pub fn add_player(&mut self, session: SessionId, epoch: Epoch) {
         self.waiting_players.insert(session, epoch);
     }
@@ -98,7 +98,7 @@
         self.waiting_players.remove(&session);
     }
 
-    /// Ends the collecting, and takes what was collected.
+    /// Stops collecting, and returns what was collected.
     pub fn complete(&mut self) -> RecoveredSessions {
         self.deadline = None;
         RecoveredSessions {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Takes the nodes that have failed meanwhile.
+    /// Removes and returns the nodes that failed while reports were collected.
     pub fn take_failed(&mut self) -> BTreeSet<ServerId> {
         take(&mut self.failed)
     }
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -1,4 +1,4 @@
-//! One session: what its viewer asked for, how far it is, and what nodes have confirmed of it.
+//! One session: its viewer's request, its stage, and what nodes have confirmed.
 
 use crate::ids::{CallId, RequestId};
 use crate::output::SessionSummary;
@@ -15,70 +15,70 @@
     pub ended_early: bool,
 }
 
-/// How far a session is. Each stage holds just what is true of it.
+/// The stage of a session, with the data that exists in this stage only.
 pub(crate) enum Stage {
-    /// The decision module has it; no attempt is in flight.
+    /// The decision module is choosing a node; no attempt is in flight.
     Deciding,
-    /// One attempt is in flight.
+    /// A set-up attempt is in flight.
     SettingUp(SetUpInFlight),
     /// It plays.
     Playing {
         server: ServerId,
         since: Timestamp,
-        /// Where the viewer finds the stream.
+        /// The URL of the stream.
         media: String,
     },
-    /// Over for the viewer. The decision module hears `outcome` when the node has confirmed the end, since until
-    /// then the node may hold the session, and its capacity is in use.
-    Leaving { server: ServerId, outcome: Outcome },
+    /// Over for the viewer. The decision module is notified of `outcome` when the node has confirmed the end: until
+    /// then the node may hold the session, so its capacity counts as used.
+    Ending { server: ServerId, outcome: Outcome },
 }
 
 /// A session.
 pub(crate) struct Session {
-    /// Hash of the viewer's key and its tenant.
+    /// Hash of the tenant and the viewer's key.
     pub viewer: u64,
-    /// The request as the decision module has it.
+    /// The request as passed to the decision module.
     pub request: Request,
     pub title: String,
     pub tenant: Option<String>,
     pub class: String,
     pub stage: Stage,
-    /// Attempts sent; the number of the last one is one less.
+    /// Number of attempts sent. Attempts are numbered from 0.
     pub attempts_sent: u32,
-    /// How many of these an earlier process sent: the decision module counts from there on.
+    /// The attempt with which the decision module's count starts: those before it were sent by an earlier process.
     pub earlier_attempts: u32,
-    /// Taken over from an earlier process, and its player has not come back yet.
+    /// Whether the session was recovered from an earlier process and its player has not subscribed again yet.
     pub awaits_player: bool,
     pub rung: usize,
-    /// The rung that the node has confirmed.
+    /// The rung that the node has confirmed last.
     pub confirmed_rung: usize,
-    /// The call that tells the node of another rung.
+    /// The call in flight that changes the rung.
     pub rung_call: Option<CallId>,
-    /// The viewer's requests that wait for the answer: more than one where it asked again.
+    /// The viewer's requests that wait for the answer; more than one if the viewer retried.
     pub waiting: Vec<RequestId>,
-    /// Ends of its last attempt that nodes have not confirmed, wherever.
+    /// Ends of its last attempt, at any nodes, that are not confirmed yet.
     pub unconfirmed_ends: u32,
-    /// Its migrations; none where its player has never followed.
+    /// Its migration state, or `None` if its player has never subscribed to its events.
     pub migration: Option<Box<SessionMigration>>,
 }
 
 impl Session {
-    /// Number of the last attempt that was sent.
+    /// Number of the last attempt.
     pub fn last_attempt(&self) -> u32 {
         self.attempts_sent.saturating_sub(1)
     }
 
-    /// The last attempt's number as the decision module counts.
+    /// Number of the last attempt, not counting those of an earlier process.
     pub fn last_attempt_of_process(&self) -> u32 {
         self.last_attempt() - self.earlier_attempts
     }
 
-    /// Whether this is the last attempt that was sent.
+    /// Whether `attempt` is the last one.
     pub fn is_last_attempt(&self, attempt: u32) -> bool {
         self.attempts_sent == attempt + 1
     }
 
-    /// Begins a further attempt and returns its number.
+    /// Starts a new attempt and returns its number.
     pub fn begin_attempt(&mut self) -> u32 {
         let attempt = self.attempts_sent;
         self.attempts_sent += 1;
@@ -86,7 +86,7 @@
         attempt
     }
 
-    /// This attempt, if it is in flight.
+    /// Returns the attempt if it is in flight.
     pub fn set_up_in_flight(&self, attempt: u32) -> Option<SetUpInFlight> {
         match self.stage {
             Stage::SettingUp(set_up) if self.is_last_attempt(attempt) => Some(set_up),
@@ -98,7 +98,7 @@
         matches!(self.stage, Stage::Playing { .. })
     }
 
-    /// The node that it plays at.
+    /// The node at which it plays.
     pub fn playing_at(&self) -> Option<ServerId> {
         match self.stage {
             Stage::Playing { server, .. } => Some(server),
@@ -106,17 +106,17 @@
         }
     }
 
-    /// Whether a node that holds it is right to.
+    /// Whether a node is expected to hold it.
     pub fn is_expected_at(&self, node: ServerId) -> bool {
         match self.stage {
             Stage::Playing { server, .. } | Stage::SettingUp(SetUpInFlight { server, .. }) => {
                 server == node || self.migrates_to(node)
             }
-            Stage::Deciding | Stage::Leaving { .. } => false,
+            Stage::Deciding | Stage::Ending { .. } => false,
         }
     }
 
-    /// Whether a node has held it, or been ready for it, since before this time.
+    /// Whether a node has served it, or was ready as its migration target, since before `before`.
     pub fn was_held_at(&self, node: ServerId, before: Timestamp) -> bool {
         match self.stage {
             Stage::Playing { server, since, .. } => {
@@ -145,16 +145,16 @@
         target.is_some_and(|target| target.server == node)
     }
 
-    /// Whether the failure of one node need not end it: it can be migrated, or its player is on its way back.
+    /// Whether it may survive the failure of a node: it can be migrated, or its player is expected to subscribe again.
     pub fn survives_node_failure(&self) -> bool {
         let Some(migration) = &self.migration else {
             return false;
         };
-        migration.player_follows || migration.is_under_way() || self.awaits_player
+        migration.player_subscribed || migration.is_under_way() || self.awaits_player
     }
 
-    /// It plays at the target of its migration from now on. Returns the call that tells the source of a rung, which
-    /// is of no use any more.
+    /// Records that it now plays at the target of its migration. Returns the call that was to change the rung at the
+    /// source and has to be cancelled.
     pub fn switch_to_target(&mut self, node: ServerId, now: Timestamp) -> Option<CallId> {
         let migration = self.migration.as_deref()?;
         let target = migration.target.as_ref()?;
@@ -171,22 +171,22 @@
         if let Some(target_media) = &target.media {
             media.clone_from(target_media);
         }
-        // Rungs that were chosen for the source meanwhile do not hold for the target.
+        // Rungs that were selected for the source in the meantime do not apply to the target.
         self.rung = target.rung;
         self.confirmed_rung = target.rung;
         self.rung_call.take()
     }
 
-    /// A rung that its node has not confirmed, if no call for one is in flight.
+    /// The rung to send to its node: not confirmed yet, and no call to change it is in flight.
     pub fn rung_to_send(&self) -> Option<usize> {
         let settled = self.rung == self.confirmed_rung || self.rung_call.is_some();
         (!settled).then_some(self.rung)
     }
 
-    /// It is over for everyone, and no node holds it: what its outcome was, and where.
+    /// Returns the node and the outcome if the session is over, no node may hold it and no request waits for it.
     pub fn outcome_if_over(&self) -> Option<(ServerId, Outcome)> {
         match self.stage {
-            Stage::Leaving { server, outcome }
+            Stage::Ending { server, outcome }
                 if self.unconfirmed_ends == 0 && self.waiting.is_empty() =>
             {
                 Some((server, outcome))
@@ -195,13 +195,13 @@
         }
     }
 
-    /// As operators see it.
+    /// The summary that is shown to operators.
     pub fn summary(&self) -> SessionSummary {
         let server = match self.stage {
             Stage::Deciding => None,
             Stage::SettingUp(SetUpInFlight { server, .. })
             | Stage::Playing { server, .. }
-            | Stage::Leaving { server, .. } => Some(server),
+            | Stage::Ending { server, .. } => Some(server),
         };
         SessionSummary {
             session: self.request.session,
--- a/crates/engine/src/session_migration.rs
+++ b/crates/engine/src/session_migration.rs
@@ -1,39 +1,39 @@
-//! The migration of one session: the protocol's state, and the target that its steps are for.
+//! The migration state of one session: the protocol's coordinator and the current target.
 
 use crate::ids::CallId;
 use shalewall::{ServerId, TimeDelta, Timestamp};
 use shalewall_migration::coordinator::MigrationCoordinator;
 use shalewall_migration::planner::MigrationReason;
 
-/// What is known of a session's migrations.
+/// The migration state of a session.
 pub(crate) struct SessionMigration {
-    /// The protocol with nodes and player.
+    /// The director's side of the migration protocol.
     pub coordinator: MigrationCoordinator,
-    /// Its player can be offered another node.
-    pub player_follows: bool,
-    /// Where it is migrating to.
+    /// Whether the player is subscribed, so that it can be offered a target.
+    pub player_subscribed: bool,
+    /// The target of the migration in progress.
     pub target: Option<MigrationTarget>,
-    /// When its timer is due.
+    /// When the armed timer is due.
     timer_due: Option<Timestamp>,
 }
 
-/// The node that a session is migrating to.
+/// The target of a migration.
 pub(crate) struct MigrationTarget {
     pub server: ServerId,
-    /// The rung to go on at.
+    /// The rung at which the target continues.
     pub rung: usize,
-    /// Where the viewer finds the stream there.
+    /// The URL of the stream at the target; known once the target is ready.
     pub media: Option<String>,
-    /// Since when the node is ready.
+    /// When the target became ready.
     pub ready_since: Option<Timestamp>,
-    /// The last call to it.
+    /// The last call to the target.
     pub call: Option<CallId>,
     pub started_at: Timestamp,
     pub reason: MigrationReason,
 }
 
 impl MigrationTarget {
-    /// A target that has not been called yet.
+    /// Creates a target that has not been called yet.
     pub fn new(
         server: ServerId,
         rung: usize,
@@ -51,18 +51,18 @@
         }
     }
 
-    /// How long the migration has taken.
+    /// Time since the migration started.
     pub fn elapsed(&self, now: Timestamp) -> TimeDelta {
         now - self.started_at
     }
 }
 
 impl SessionMigration {
-    /// A session that is not migrating.
-    pub fn new(coordinator: MigrationCoordinator, player_follows: bool) -> SessionMigration {
+    /// Creates the state of a session that is not migrating.
+    pub fn new(coordinator: MigrationCoordinator, player_subscribed: bool) -> SessionMigration {
         SessionMigration {
             coordinator,
-            player_follows,
+            player_subscribed,
             target: None,
             timer_due: None,
         }
@@ -72,9 +72,9 @@
         self.target.is_some()
     }
 
-    /// Starts a migration that is given up at `deadline` if its target is not ready. False: it can't start now.
+    /// Starts a migration that is aborted if its target is not ready by `deadline`. Returns `false` if it can't start.
     pub fn start(&mut self, now: Timestamp, target: MigrationTarget, deadline: Timestamp) -> bool {
-        let can_start = self.player_follows && self.target.is_none();
+        let can_start = self.player_subscribed && self.target.is_none();
         if !can_start || !self.coordinator.start(now, target.server, deadline) {
             return false;
         }
@@ -82,7 +82,7 @@
         true
     }
 
-    /// Whether a timer has to be set, and for when: there is none yet, or only later ones.
+    /// Returns when a timer has to be set for, unless one that is due by then is already armed.
     pub fn arm_timer(&mut self) -> Option<Timestamp> {
         let due = self.coordinator.poll_timeout()?;
         if self.timer_due.is_some_and(|armed| armed <= due) {
@@ -92,7 +92,7 @@
         Some(due)
     }
 
-    /// A timer fired. False: it was superseded by an earlier one.
+    /// Handles a timer that fired. Returns `false` if an earlier timer has superseded it.
     pub fn handle_timer(&mut self, now: Timestamp) -> bool {
         if self.timer_due.is_none_or(|due| due > now) {
             return false;
--- a/crates/engine/src/session_table.rs
+++ b/crates/engine/src/session_table.rs
@@ -1,4 +1,4 @@
-//! All sessions of one director: by id, by the viewer's key, and by the requests that wait for an answer.
+//! All sessions of one director, indexed by id, by the viewer's key and by the requests that wait for an answer.
 
 use crate::ids::RequestId;
 use crate::output::{SessionCounts, SessionSummary};
@@ -7,12 +7,12 @@
 use shalewall::SessionId;
 use std::collections::{BTreeMap, HashMap};
 
-// Session ids stay below 2^52: 10 bits of the director's number, 14 of its incarnation, 28 that count.
+// A session id has 52 bits: 10 for the director's number, 14 for its incarnation and 28 for a counter.
 const DIRECTOR_BITS: u32 = 10;
 const INCARNATION_BITS: u32 = 14;
 const COUNTER_BITS: u32 = 28;
 
-/// Sessions of one process of a director.
+/// The sessions of one director process.
 pub(crate) struct SessionTable {
     sessions: BTreeMap<SessionId, Session>,
     by_viewer: HashMap<u64, SessionId>,
@@ -36,14 +36,14 @@
         self.sessions.len()
     }
 
-    /// An id that no other session has.
+    /// Returns the next unused session id.
     pub fn allocate_id(&mut self) -> SessionId {
         let id = SessionId(self.next_id);
         self.next_id += 1;
         id
     }
 
-    /// Whether a session is of an earlier process of this director.
+    /// Whether a session was created by an earlier process of this director.
     pub fn is_of_earlier_process(&self, session: SessionId) -> bool {
         let process = |id: u64| id >> COUNTER_BITS;
         let director = |id: u64| id >> (INCARNATION_BITS + COUNTER_BITS);
@@ -58,37 +58,37 @@
         self.sessions.get_mut(&session)
     }
 
-    /// The session, if this is its last attempt.
+    /// Returns the session if `attempt` is its last attempt.
     pub fn get_attempt(&self, session: SessionId, attempt: u32) -> Option<&Session> {
         let session = self.sessions.get(&session);
         session.filter(|session| session.is_last_attempt(attempt))
     }
 
-    /// The session, if this is its last attempt.
+    /// Returns the session if `attempt` is its last attempt.
     pub fn get_attempt_mut(&mut self, session: SessionId, attempt: u32) -> Option<&mut Session> {
         let session = self.sessions.get_mut(&session);
         session.filter(|session| session.is_last_attempt(attempt))
     }
 
-    /// The migrations of a session whose player has followed.
+    /// The migration state of a session whose player has subscribed to its events at some time.
     pub fn migration_mut(&mut self, session: SessionId) -> Option<&mut SessionMigration> {
         let session = self.sessions.get_mut(&session)?;
         session.migration.as_deref_mut()
     }
 
-    /// Ids of the sessions of which this is true, in their order.
+    /// Ids of the sessions that satisfy the condition, in ascending order.
     pub fn ids_where(&self, condition: impl Fn(&Session) -> bool) -> Vec<SessionId> {
         let matching = self.sessions.iter();
         let matching = matching.filter(|(_, session)| condition(session));
         matching.map(|(id, _)| *id).collect()
     }
 
-    /// All sessions, by their ids.
+    /// All sessions in ascending order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Session)> {
         self.sessions.iter().map(|(id, session)| (*id, session))
     }
 
-    /// Adds a session under its viewer's key.
+    /// Adds a session and indexes it by its viewer's key and its waiting requests.
     pub fn insert(&mut self, session: Session) {
         let id = session.request.session;
         self.by_viewer.insert(session.viewer, id);
@@ -98,26 +98,26 @@
         self.sessions.insert(id, session);
     }
 
-    /// Removes a session and its viewer's key.
+    /// Removes a session and the index entry of its viewer's key.
     pub fn remove(&mut self, session: SessionId) -> Option<Session> {
         let removed = self.sessions.remove(&session)?;
         self.release_viewer(removed.viewer, session);
         Some(removed)
     }
 
-    /// The session that a viewer's key stands for.
+    /// The current session of a viewer's key.
     pub fn find_by_viewer(&self, viewer: u64) -> Option<SessionId> {
         self.by_viewer.get(&viewer).copied()
     }
 
-    /// The viewer's key does not stand for this session any more.
+    /// Removes the viewer's key from the index if it refers to this session.
     pub fn release_viewer(&mut self, viewer: u64, session: SessionId) {
         if self.by_viewer.get(&viewer) == Some(&session) {
             self.by_viewer.remove(&viewer);
         }
     }
 
-    /// A further request waits for a session's answer.
+    /// Adds another request that waits for a session's answer.
     pub fn add_waiting(&mut self, session: SessionId, request: RequestId) {
         if let Some(state) = self.sessions.get_mut(&session) {
             state.waiting.push(request);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A request waits no more. Returns its session.
+    /// Removes a waiting request. Returns its session.
     pub fn remove_waiting(&mut self, request: RequestId) -> Option<SessionId> {
         let session = self.by_request.remove(&request)?;
         let state = self.sessions.get_mut(&session)?;
@@ -133,7 +133,7 @@
         Some(session)
     }
 
-    /// Takes all requests that wait for a session's answer.
+    /// Removes and returns all requests that wait for a session's answer.
     pub fn take_waiting(&mut self, session: SessionId) -> Vec<RequestId> {
         let Some(state) = self.sessions.get_mut(&session) else {
             return Vec::new();
@@ -145,7 +145,7 @@
         waiting
     }
 
-    /// Sessions by what is under way.
+    /// Session counts by stage.
     pub fn counts(&self) -> SessionCounts {
         let mut counts = SessionCounts::default();
         for session in self.sessions.values() {
@@ -153,13 +153,13 @@
             match session.stage {
                 Stage::Deciding | Stage::SettingUp(_) => counts.waiting += 1,
                 Stage::Playing { .. } => counts.playing += 1,
-                Stage::Leaving { .. } => counts.ending += 1,
+                Stage::Ending { .. } => counts.ending += 1,
             }
         }
         counts
     }
 
-    /// Sessions of a tenant, `limit` at most.
+    /// At most `limit` sessions of a tenant.
     pub fn of_tenant(&self, tenant: &str, limit: usize) -> Vec<SessionSummary> {
         let sessions = self.sessions.values();
         let of_tenant = sessions.filter(|session| session.tenant.as_deref() == Some(tenant));
