--- a/crates/engine/benches/decisions.rs
+++ b/crates/engine/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What the decision module takes for a request and for a tick, by the sessions held: 3 directors, 15
-//! servers. `cargo bench -p shalewall-engine`.
+//! Time that the decision module takes for a request and for a tick, by the number of sessions held, with 3
+//! directors and 15 servers. Run with `cargo bench -p shalewall-engine`.
 
 #[path = "../../../tests/common/mod.rs"]
 mod common;
@@ -13,13 +13,13 @@
 use std::hint::black_box;
 
 const SECOND: TimeDelta = TimeDelta::from_secs(1);
-/// Between two requests.
+/// Time between two requests.
 const STEP: TimeDelta = TimeDelta::from_millis(30);
 
 const TICK: u64 = u64::MAX;
 
-/// A director that holds so many sessions, all of them older than its memory of set-ups, on links large
-/// enough for them.
+/// Creates a director that holds `count` sessions, all set up longer ago than it remembers set-ups, on links that are
+/// large enough for them.
 fn director_holding(count: u64) -> (Director, Timestamp) {
     let link = 2000.0 * (count as f64 / 15.0 + 100.0) * 2.0;
     let mut settings = Settings {
@@ -36,7 +36,7 @@
     settings.rules.retry_budget = None;
     let mut director = Director::new(1, settings, Timestamp::ZERO);
     let mut actions = Vec::new();
-    let line = |id| Endpoint {
+    let endpoint = |id| Endpoint {
         server: ServerId(id),
         machine_kind: Some(0),
         cell: id,
@@ -48,7 +48,7 @@
         Timestamp::ZERO,
         Event::EndpointsUpdated {
             update: EndpointUpdate::Full,
-            endpoints: (0..15).map(line).collect(),
+            endpoints: (0..15).map(endpoint).collect(),
         },
         &mut actions,
     );
@@ -62,11 +62,11 @@
         );
     }
     let now = Timestamp::ZERO + 60 * SECOND;
-    // Figures of every link and uplink, as notes would keep them.
+    // Utilization of every link and uplink, as node notifications report it.
     for id in 0..count.min(100) {
         let session = SessionId(id);
         let server = ServerId(request(id, Timestamp::ZERO).first_cell + id % 5);
-        for note in [
+        for notification in [
             Notification::LinkUtilization(0.4),
             Notification::UplinkUtilization(0.5),
         ] {
@@ -76,7 +76,7 @@
                     session,
                     attempt: 0,
                     server,
-                    notification: note,
+                    notification,
                 },
                 &mut actions,
             );
@@ -103,7 +103,7 @@
     }
 }
 
-/// One that comes, plays and ends: what is held stays the same.
+/// Runs one session from request to end, so that the number of held sessions stays the same.
 fn run_one_session(
     director: &mut Director,
     now: Timestamp,
@@ -112,25 +112,25 @@
 ) -> usize {
     actions.clear();
     director.handle(now, Event::RequestReceived(request), actions);
-    let sent = actions.iter().find_map(|a| match a {
+    let placement = actions.iter().find_map(|action| match action {
         Action::StartAttempt {
             session, server, ..
         } => Some((*session, *server)),
         _ => None,
     });
-    let (session, server) = sent.expect("there is room for it");
-    let (attempt, waited) = (0, TimeDelta::from_millis(50));
+    let (session, server) = placement.expect("a server has capacity");
+    let (attempt, setup_time) = (0, TimeDelta::from_millis(50));
     director.handle(
         now,
         Event::SessionStarted {
             session,
             attempt,
             server,
-            setup_time: waited,
+            setup_time,
         },
         actions,
     );
-    let (outcome, closed, load) = (Outcome::Success, true, LoadReport::default());
+    let (outcome, is_answered, load_report) = (Outcome::Success, true, LoadReport::default());
     director.handle(
         now,
         Event::AttemptFinished {
@@ -138,8 +138,8 @@
             attempt,
             server,
             outcome,
-            is_answered: closed,
-            load_report: load,
+            is_answered,
+            load_report,
         },
         actions,
     );
@@ -177,7 +177,7 @@
     }
 }
 
-/// The same where so many tenants with classes of their own are known, of which ten at most hold something.
+/// One session with a varying number of tenants, each with its own class, of which at most ten hold sessions.
 fn tenants(c: &mut Criterion) {
     for count in [1usize, 10, 1_000] {
         let (mut director, mut now) = director_holding(1_000);
@@ -191,10 +191,10 @@
             .into_iter()
             .chain((0..count).map(class))
             .collect();
-        let part = 1.0 / count as f64;
+        let fleet_quota = 1.0 / count as f64;
         let tenants = vec![
             TenantSettings {
-                fleet_quota: part,
+                fleet_quota,
                 ..TenantSettings::default()
             };
             count
@@ -224,7 +224,7 @@
     }
 }
 
-/// When to migrate: a silence report and a plan, among so many sessions at 100 nodes.
+/// Migration planning: a silence report and the plan that follows, by the number of sessions at 100 nodes.
 fn migrations(c: &mut Criterion) {
     for held in [1_000u64, 100_000] {
         let policy = MigrationPolicy {
--- a/crates/engine/tests/catalogue.rs
+++ b/crates/engine/tests/catalogue.rs
@@ -1,5 +1,5 @@
-//! Numbers for names: shared by equal settings, kept while sessions hold them, and the same whatever the order in
-//! which updates of tenants come.
+//! Numbers of classes, tenants and fleets: shared by equal settings, not reused while sessions refer to them, and
+//! independent of the order in which tenant updates arrive.
 
 use shalewall::{ClassSettings, ServerId, TimeDelta};
 use shalewall_engine::catalogue::{Catalogue, ResolvedNames};
@@ -29,11 +29,11 @@
 fn resolve(catalogue: &Catalogue, tenant: &str) -> ResolvedNames {
     catalogue
         .resolve(Some(tenant), "room", "monday")
-        .expect("it is there")
+        .expect("the names are known")
 }
 
 #[test]
-fn equal_settings_share_a_number_and_held_ones_are_never_given_to_others() {
+fn equal_settings_share_a_number_and_referenced_numbers_are_not_reused() {
     let mut catalogue = Catalogue::new(&mut Config::default());
     catalogue.set_terms("a", Some(terms(1.0, 2.0, &[])));
     catalogue.set_terms("b", Some(terms(3.0, 2.0, &[])));
@@ -42,7 +42,7 @@
     assert_eq!((a.class, a.tenant), (b.class, Some(0)));
     assert_ne!(
         a.title, b.title,
-        "titles of two tenants have nothing in common"
+        "equal names of two tenants' titles have different ids"
     );
     assert_eq!(
         catalogue
@@ -53,14 +53,14 @@
         [0.25, 0.75]
     );
 
-    // A session of a plays with the old settings while they change, and while a is gone.
+    // A session of tenant a keeps the old settings while they change, and after the tenant is removed.
     catalogue.acquire(a.class, a.tenant);
     catalogue.set_terms("a", Some(terms(1.0, 9.0, &[])));
     assert_ne!(resolve(&catalogue, "a").class, a.class);
     assert_eq!(
         resolve(&catalogue, "a").title,
         a.title,
-        "session limits go on"
+        "the title's session limit still applies"
     );
     catalogue.set_terms("a", None);
     catalogue.set_terms("b", None);
@@ -69,7 +69,7 @@
     assert_ne!((other.class, other.tenant), (a.class, a.tenant));
     assert!(other.class != a.class && other.tenant != a.tenant);
     assert_eq!(catalogue.classes()[a.class].priority_weight, 2.0);
-    // Over: the numbers are free again, and a thousand changes need no more of them.
+    // When the session is over, its numbers are reused: a thousand changes allocate no new ones.
     catalogue.release(a.class, a.tenant);
     for change in 0..1000 {
         let weight = 100.0 + f64::from(change);
--- a/crates/engine/tests/migration/main.rs
+++ b/crates/engine/tests/migration/main.rs
@@ -1,4 +1,4 @@
-//! Migrations of the engine in simulated time: nodes drain, freeze, fail and come back, directors restart, viewers
+//! Migrations of the engine in simulated time: nodes drain, freeze, fail and restart, directors restart, viewers
 //! leave.
 
 #[path = "../../../../tests/common/mod.rs"]
@@ -21,7 +21,7 @@
                 .count()
         };
         let before = at(&simulation, 1);
-        assert!(before >= 5, "{before} there");
+        assert!(before >= 5, "{before} sessions at the node");
         simulation.set_endpoint_state(1, EndpointState::Draining);
         simulation.run_for(600 * MILLISECOND);
         let left = at(&simulation, 1);
@@ -31,12 +31,12 @@
         assert_eq!(
             at(&simulation, 1),
             0,
-            "loss {loss}: {left} were there when it died"
+            "loss {loss}: {left} sessions were at the node when it failed"
         );
         assert_eq!(
             simulation.players.values().filter(|p| p.ended).count(),
             0,
-            "none is lost"
+            "a session was lost"
         );
         assert_eq!(simulation.gaps(), [], "loss {loss}");
         assert_eq!(simulation.migrated as usize, before);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn frozen_node_is_left_before_buffers_are_empty_and_released_when_it_resumes() {
+fn frozen_node_is_evacuated_before_buffers_run_empty_and_released_on_resume() {
     let mut simulation = Simulation::new(2, 0);
     simulation.request_sessions(40);
     simulation.frozen[2] = true;
@@ -84,7 +84,7 @@
             let mut simulation = Simulation::new(10 + step, 0);
             simulation.request_sessions(12);
             simulation.set_endpoint_state(0, EndpointState::Draining);
-            // Somewhere in the middle of the migrations, all targets but one fail.
+            // During the migrations, all targets but one fail.
             simulation.run_for(step as i64 * 10 * MILLISECOND);
             for node in 1..3 {
                 match kind {
@@ -123,27 +123,28 @@
             assert_eq!(
                 simulation.players.values().filter(|p| p.ended).count(),
                 0,
-                "step {step}: none is lost"
+                "step {step}: a session was lost"
             );
             let left = simulation
                 .players
                 .values()
                 .filter(|p| p.protocol.node().0 == 1)
                 .count();
-            assert_eq!(left, 0, "step {step}: the node that drains is empty");
+            assert_eq!(left, 0, "step {step}: the draining node still has sessions");
             assert_eq!(simulation.gaps(), [], "step {step}");
             simulation.assert_settled();
         }
     }
 }
 
-/// Seen on a scripted day: the director was back some 100 ms before a node that had drained meanwhile failed.
+/// Guards against the loss of sessions when a node that drained while the director was down fails some 100 ms after
+/// the director is back, and another node has not reported yet.
 #[test]
 fn node_failure_just_after_director_restart_loses_no_session_whose_buffer_lasts() {
     for after in [0, 5, 20, 100, 400] {
         let mut simulation = Simulation::new(40, 0);
         simulation.request_sessions(24);
-        simulation.frozen[3] = true; // one that tells nothing yet
+        simulation.frozen[3] = true; // this node does not report yet
         let there: Vec<_> = simulation
             .players
             .iter()
@@ -183,7 +184,7 @@
     simulation.assert_settled();
     assert!(
         simulation.players.values().all(|p| !p.ended),
-        "all go on where they were"
+        "a session ended"
     );
 }
 
@@ -236,12 +237,12 @@
     }
     assert!(
         migrated > 100 && aborted > 10,
-        "the runs have to migrate sessions: {migrated}, and abort: {aborted}"
+        "too few migrations to exercise the engine: {migrated} migrated, {aborted} aborted"
     );
 }
 
 #[test]
-fn viewer_leaving_at_any_step_leaves_nothing_behind() {
+fn viewer_leaving_at_any_step_leaks_nothing() {
     for step in 0..20 {
         let mut simulation = Simulation::new(50 + step, 0);
         simulation.request_sessions(24);
@@ -284,7 +285,7 @@
 }
 
 #[test]
-fn lost_rack_is_taken_over_by_the_other_within_buffers() {
+fn sessions_of_a_failed_rack_migrate_before_buffers_run_empty() {
     let mut simulation = Simulation::new(5, 0);
     simulation.request_sessions(40);
     simulation.crash(0);
@@ -300,11 +301,11 @@
     simulation.assert_settled();
 }
 
-/// Places for some only: each session either goes on without a gap or has one clean end.
+/// With capacity for only some of the sessions, each one either continues without a gap or is ended.
 #[test]
 fn node_failure_with_little_capacity_left_resumes_or_ends_each_session() {
     let mut simulation = Simulation::new(6, 0);
-    // Everyone is at node 0: the others take nothing yet. Each link takes some 93 sessions of 300 in all.
+    // All sessions start at node 0, since the others are draining. Each link carries about 93 sessions at 300 kB/s.
     (1..NODES).for_each(|n| simulation.set_endpoint_state(n, EndpointState::Draining));
     simulation.request_sessions(40);
     simulation.set_endpoint_state(0, EndpointState::Draining);
@@ -316,8 +317,12 @@
             .filter(|p| p.protocol.node().0 == n && !p.ended)
             .count()
     };
-    assert_eq!(at(&simulation, 0), 0, "there is room for all");
-    // The second time two of three are gone already, and the third is reported nearly full.
+    assert_eq!(
+        at(&simulation, 0),
+        0,
+        "the other nodes have capacity for all sessions"
+    );
+    // Now two of the three other nodes drain and then fail, and the third reports that it is nearly full.
     simulation.set_endpoint_state(1, EndpointState::Draining);
     simulation.set_endpoint_state(2, EndpointState::Draining);
     simulation.set_endpoint_state(0, EndpointState::Gone);
@@ -325,7 +330,7 @@
         .players
         .iter()
         .find(|(_, p)| p.protocol.node().0 == 3)
-        .expect("somebody there")
+        .expect("a player at node 3")
         .0;
     let full = NodeEvent::LoadReported {
         session: one,
@@ -346,17 +351,13 @@
     assert_eq!(
         stayed,
         at(&simulation, 3),
-        "whoever plays does so where there was room"
+        "all remaining sessions play at the node with capacity"
     );
     assert!(
         stayed > three && stayed < all,
-        "{three} were there, {stayed} of {all} play"
-    );
-    assert_eq!(
-        simulation.gaps(),
-        [],
-        "those that went on saw nothing of it"
+        "{three} played at node 3 before, {stayed} of {all} play now"
     );
+    assert_eq!(simulation.gaps(), [], "a remaining session had a gap");
     simulation.assert_settled();
 }
 
--- a/crates/engine/tests/migration/world.rs
+++ b/crates/engine/tests/migration/world.rs
@@ -1,5 +1,5 @@
-//! A director, its nodes and their players in simulated time. Nodes and players are the protocol's own state
-//! machines; calls and messages are late, lost or answered twice.
+//! A director, its nodes and their players in simulated time. Nodes and players use the state machines of the
+//! migration protocol; calls and messages are delayed, lost or answered twice.
 
 mod nodes;
 mod players;
@@ -24,9 +24,9 @@
 pub const MILLISECOND: TimeDelta = TimeDelta::from_millis(1);
 pub const SECOND: TimeDelta = TimeDelta::from_secs(1);
 pub const NODES: u64 = 4;
-/// A player that receives nothing reports that after this.
+/// A player reports silence when it has received nothing for this time.
 pub const SILENCE_REPORT_AFTER: TimeDelta = TimeDelta::from_millis(300);
-/// A player's buffer lasts so long.
+/// Playing time of a full player buffer.
 pub const BUFFER: TimeDelta = SECOND;
 
 pub fn config() -> Config {
@@ -99,16 +99,16 @@
     TicketKey::new([5; 32])
 }
 
-/// A player that can be offered another node.
+/// A player that supports migration.
 pub struct Player {
     pub protocol: PlayerMigration,
     pub last_received: Timestamp,
     pub last_report: Timestamp,
-    /// By when a picture of the node that it has fetched from has to come.
+    /// When it declines the epoch that it is fetching, unless a picture of it has arrived.
     pub switch_deadline: Option<Timestamp>,
-    /// How long its buffer was empty, each time.
+    /// The times for which its buffer was empty.
     pub gaps: Vec<TimeDelta>,
-    /// Since when its buffer is empty.
+    /// When its buffer became empty.
     pub empty_since: Option<Timestamp>,
     pub ended: bool,
 }
@@ -121,18 +121,18 @@
     pub frozen: Vec<bool>,
     pub draining: Vec<bool>,
     pub players: BTreeMap<SessionId, Player>,
-    /// Calls in flight, with when they reach their nodes.
+    /// Calls in flight, with the time at which they reach their nodes.
     pub calls: Vec<(Timestamp, CallId, ServerId, CallKind)>,
-    /// How often each session was set up.
+    /// Number of set-ups of each session.
     pub set_ups: BTreeMap<SessionId, u32>,
-    /// Messages from players and nodes to the director that are on their way.
+    /// Messages in flight from players and nodes to the director.
     pub messages: Vec<(Timestamp, Input)>,
     pub random: RandomNumbers,
     pub loss_percent: u64,
     pub migrated: u32,
     pub aborted: u32,
     pub incarnation: u16,
-    /// Nodes that have not reported to a restarted director yet.
+    /// Nodes that have not reported to the restarted director yet.
     pub unreported: Vec<u64>,
 }
 
@@ -198,7 +198,9 @@
                     answer: Answer::Playing { session, .. },
                     ..
                 } => {
-                    let node = self.serving_node(session).expect("it was set up");
+                    let node = self
+                        .serving_node(session)
+                        .expect("a node serves a session that plays");
                     let player = Player {
                         protocol: PlayerMigration::new(ServerId(node)),
                         last_received: self.now,
@@ -280,11 +282,11 @@
         self.run_until(self.now + span);
     }
 
-    /// The director restarts: calls and messages to it are lost, nodes report what they hold, players follow again.
-    pub fn restart_director(&mut self, away: TimeDelta) {
+    /// Restarts the director: calls and messages to it are lost, nodes report what they hold, players subscribe again.
+    pub fn restart_director(&mut self, downtime: TimeDelta) {
         self.calls.clear();
         self.messages.clear();
-        let until = self.now + away;
+        let until = self.now + downtime;
         while self.now < until {
             self.now += 50 * MILLISECOND;
             self.deliver_pictures();
@@ -312,20 +314,21 @@
             self.connect_node(n);
         }
         let playing = self.players.iter().filter(|(_, p)| !p.ended);
-        let follows = |(session, p): (&SessionId, &Player)| Input::PlayerSubscription {
+        let subscription = |(session, p): (&SessionId, &Player)| Input::PlayerSubscription {
             session: *session,
             playing_epoch: Some(p.protocol.epoch()),
         };
-        let follows: Vec<_> = playing.map(follows).collect();
+        let subscriptions: Vec<_> = playing.map(subscription).collect();
         let now = self.now;
         self.messages.extend(
-            follows
+            subscriptions
                 .into_iter()
                 .map(|message| (now + 5 * MILLISECOND, message)),
         );
     }
 
-    /// What must hold once all is well again.
+    /// Ends all faults, and checks that each session ends up set up once, served by exactly one node if it plays, and
+    /// with nothing left of its migrations.
     pub fn assert_settled(&mut self) {
         self.loss_percent = 0;
         for node in 0..NODES {
@@ -345,8 +348,8 @@
             ),
             (0, 0, 0, 0)
         );
-        for (session, booked) in &self.set_ups {
-            assert_eq!(*booked, 1, "{session:?} was set up once, whatever happened");
+        for (session, set_up_count) in &self.set_ups {
+            assert_eq!(*set_up_count, 1, "{session:?} is set up exactly once");
             let serving = self
                 .nodes
                 .iter()
@@ -371,7 +374,7 @@
                 assert_eq!(
                     at.epochs(*session).serving,
                     Some(p.epoch()),
-                    "its player is where it is served"
+                    "the node of its player serves the player's epoch"
                 );
             }
         }
--- a/crates/engine/tests/migration/world/nodes.rs
+++ b/crates/engine/tests/migration/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: they answer calls late or not at all, fail, freeze, and report what they hold.
+//! Nodes that answer calls late or not at all, crash, freeze, and report what they hold.
 
 use super::{MILLISECOND, NODES, Simulation, ticket_key};
 use shalewall::{LoadReport, ServerId, SessionId};
@@ -15,14 +15,14 @@
         (0..NODES).find(|n| self.nodes[*n as usize].as_ref().is_some_and(serves))
     }
 
-    /// The call arrives; what the node answers.
+    /// Executes a call at its node, and returns the node's answer.
     pub fn answer_call(&mut self, server: ServerId, kind: &CallKind) -> CallResult {
         let i = server.0 as usize;
         let now = self.now_ms();
         let Some(node) = &mut self.nodes[i] else {
             return CallResult::NotStarted("refused".into());
         };
-        let said = |status| CallResult::Answered {
+        let answered = |status| CallResult::Answered {
             status,
             not_started: false,
             load_report: LoadReport::default(),
@@ -32,7 +32,7 @@
             CallKind::SetUpSession { session, .. } => {
                 *self.set_ups.entry(*session).or_default() += 1;
                 node.set_up(*session);
-                said(201)
+                answered(201)
             }
             CallKind::PrepareMigration {
                 session,
@@ -50,7 +50,7 @@
                         expires_at: now + 2000,
                     },
                 );
-                said(
+                answered(
                     if node.prepare(server, &ticket_key(), now, &ticket).is_ok() {
                         201
                     } else {
@@ -58,7 +58,7 @@
                     },
                 )
             }
-            CallKind::CancelMigration { session, epoch, .. } => said(
+            CallKind::CancelMigration { session, epoch, .. } => answered(
                 if node.cancel(*session, *epoch) == CancelOutcome::Cancelled {
                     204
                 } else {
@@ -67,39 +67,39 @@
             ),
             CallKind::EndSession {
                 session,
-                up_to_epoch: upto,
+                up_to_epoch,
                 ..
             } => {
-                node.release(*session, upto.unwrap_or(Epoch(u32::MAX)));
-                said(204)
+                node.release(*session, up_to_epoch.unwrap_or(Epoch(u32::MAX)));
+                answered(204)
             }
-            CallKind::SetRung { .. } | CallKind::CheckHealth => said(204),
+            CallKind::SetRung { .. } | CallKind::CheckHealth => answered(204),
         }
     }
 
     pub fn deliver_call(&mut self, n: usize) {
         let (_, call, server, kind) = self.calls.remove(n);
         if self.frozen[server.0 as usize] && self.nodes[server.0 as usize].is_some() {
-            // It waits until the node goes on.
+            // Calls to a frozen node wait until it resumes.
             self.calls
                 .push((self.now + 50 * MILLISECOND, call, server, kind));
             return;
         }
-        let moving = !matches!(kind, CallKind::SetUpSession { .. });
-        if moving && self.is_lost() {
+        let may_be_lost = !matches!(kind, CallKind::SetUpSession { .. });
+        if may_be_lost && self.is_lost() {
             return self.handle(Input::CallFinished {
                 call,
-                result: CallResult::MaybeExecuted("lost on its way".into()),
+                result: CallResult::MaybeExecuted("request lost".into()),
             });
         }
-        let done = self.answer_call(server, &kind);
-        if moving && self.is_lost() {
+        let result = self.answer_call(server, &kind);
+        if may_be_lost && self.is_lost() {
             return self.handle(Input::CallFinished {
                 call,
-                result: CallResult::MaybeExecuted("its answer was lost".into()),
+                result: CallResult::MaybeExecuted("answer lost".into()),
             });
         }
-        self.handle(Input::CallFinished { call, result: done });
+        self.handle(Input::CallFinished { call, result });
     }
 
     pub fn crash(&mut self, node: u64) {
@@ -120,10 +120,10 @@
         });
     }
 
-    /// A node opens its event stream to a restarted director; a frozen one does so when it resumes.
+    /// Opens a node's event stream to a restarted director; a frozen node does so when it resumes.
     pub fn connect_node(&mut self, n: u64) {
-        let (server, asked) = (ServerId(n), self.now);
-        // Of those that left, a node that runs sees that nobody fetches.
+        let (server, requested_at) = (ServerId(n), self.now);
+        // A running node releases the sessions of viewers that have left, since nobody fetches them any more.
         let mut node = self.nodes[n as usize]
             .as_mut()
             .filter(|_| !self.frozen[n as usize]);
@@ -137,14 +137,14 @@
         else {
             return self.unreported.push(n);
         };
-        let there = self
+        let held_sessions = self
             .set_ups
             .keys()
             .map(|session| (*session, node.epochs(*session)));
-        let there: Vec<_> = there
+        let held_sessions: Vec<_> = held_sessions
             .filter(|(_, held)| held.serving.or(held.prepared).is_some())
             .collect();
-        let carried = |(session, held): &(SessionId, SessionEpochs)| TransferredSession {
+        let transferred = |(session, held): &(SessionId, SessionEpochs)| TransferredSession {
             session: *session,
             attempt: 0,
             viewer: session.0,
@@ -155,9 +155,9 @@
             epochs: *held,
             media: n.to_string(),
         };
-        let sessions = there.iter().map(carried).collect();
+        let sessions = held_sessions.iter().map(transferred).collect();
         self.handle(Input::NodeSessionsReported { server, sessions });
-        let held = there
+        let held = held_sessions
             .iter()
             .map(|(session, _)| SessionAttempt {
                 session: *session,
@@ -166,7 +166,7 @@
             .collect();
         self.handle(Input::NodeConnected {
             server,
-            requested_at: asked,
+            requested_at,
             held,
         });
     }
--- a/crates/engine/tests/migration/world/players.rs
+++ b/crates/engine/tests/migration/world/players.rs
@@ -1,4 +1,4 @@
-//! Players: they ask for sessions, receive pictures from whichever node serves them, and report silence.
+//! Players that request sessions, receive pictures from the nodes that serve them, and report silence.
 
 use super::{BUFFER, MILLISECOND, SECOND, SILENCE_REPORT_AFTER, Simulation};
 use shalewall::{ServerId, SessionId, TimeDelta};
@@ -8,17 +8,17 @@
 use shalewall_migration::player::PlayerMigration;
 
 impl Simulation {
-    /// Lets a player do something, and carries out what it says.
+    /// Runs an operation on a player's state machine, and carries out the resulting actions.
     pub fn with_player(
         &mut self,
         session: SessionId,
-        what: impl FnOnce(&mut PlayerMigration) -> Vec<PlayerAction>,
+        operation: impl FnOnce(&mut PlayerMigration) -> Vec<PlayerAction>,
     ) {
         let Some(player) = self.players.get_mut(&session).filter(|p| !p.ended) else {
             return;
         };
-        for done in what(&mut player.protocol) {
-            match done {
+        for action in operation(&mut player.protocol) {
+            match action {
                 PlayerAction::Fetch { node, epoch } => {
                     let node = node.0;
                     let player = self.players.get_mut(&session).unwrap();
@@ -26,8 +26,8 @@
                         .switch_deadline
                         .get_or_insert(self.now + 400 * MILLISECOND);
                     let frozen = self.frozen[node as usize];
-                    let there = self.nodes[node as usize].as_mut().filter(|_| !frozen);
-                    match there.map(|n| n.fetch(session, epoch)) {
+                    let running_node = self.nodes[node as usize].as_mut().filter(|_| !frozen);
+                    match running_node.map(|n| n.fetch(session, epoch)) {
                         None => {}
                         Some(Err(_)) => player.protocol.on_fetch_failed(ServerId(node), epoch),
                         Some(Ok(())) => {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Players take a picture each 50 ms from whoever serves them, and say so when nothing comes.
+    /// Delivers one picture to each player from the node that serves it, every 50 ms. Players report when none arrives.
     pub fn deliver_pictures(&mut self) {
         let ids: Vec<SessionId> = self
             .players
@@ -77,19 +77,19 @@
             .collect();
         for session in ids {
             let p = &self.players[&session];
-            let (at, epoch, trying) = (
+            let (current_node, epoch, fetching) = (
                 p.protocol.node().0,
                 p.protocol.epoch(),
                 p.protocol.pending(),
             );
             let serves = |node: u64, epoch: Epoch| {
-                let there = self.nodes[node as usize].as_ref();
+                let sessions = self.nodes[node as usize].as_ref();
                 !self.frozen[node as usize]
-                    && there.is_some_and(|n| n.epochs(session).serving == Some(epoch))
+                    && sessions.is_some_and(|n| n.epochs(session).serving == Some(epoch))
             };
-            let (now, old) = (self.now, serves(at, epoch));
-            let new = trying.filter(|pending| serves(pending.node.0, pending.epoch));
-            if let Some(pending) = new {
+            let (now, current_serves) = (self.now, serves(current_node, epoch));
+            let ready_target = fetching.filter(|pending| serves(pending.node.0, pending.epoch));
+            if let Some(pending) = ready_target {
                 self.with_player(session, |protocol| {
                     protocol.on_picture(pending.node, pending.epoch)
                 });
@@ -97,14 +97,14 @@
             let late = self.players[&session]
                 .switch_deadline
                 .is_some_and(|t| now >= t);
-            if new.is_none() && trying.is_some() && late {
+            if ready_target.is_none() && fetching.is_some() && late {
                 self.with_player(session, PlayerMigration::give_up);
             }
             let p = self.players.get_mut(&session).unwrap();
-            if new.is_some() || p.protocol.pending().is_none() {
+            if ready_target.is_some() || p.protocol.pending().is_none() {
                 p.switch_deadline = None;
             }
-            if old || new.is_some() {
+            if current_serves || ready_target.is_some() {
                 p.last_received = now;
                 if let Some(since) = p.empty_since.take() {
                     p.gaps.push(now - since);
@@ -129,22 +129,22 @@
     }
 
     pub fn request_sessions(&mut self, count: u64) {
-        for ask in 0..count {
-            let (viewer, class, title) = (
-                format!("v{}-{ask}", self.now.as_micros()),
+        for number in 0..count {
+            let (viewer_key, class, title) = (
+                format!("v{}-{number}", self.now.as_micros()),
                 "paid".into(),
                 "t".into(),
             );
-            let new = SessionRequest {
-                viewer_key: viewer,
+            let request = SessionRequest {
+                viewer_key,
                 class,
                 title,
                 ..SessionRequest::default()
             };
-            let ask = RequestId(self.now.as_micros() as u64 * 1000 + ask);
+            let request_id = RequestId(self.now.as_micros() as u64 * 1000 + number);
             self.handle(Input::RequestReceived {
-                request_id: ask,
-                request: new,
+                request_id,
+                request,
             });
         }
         self.run_for(SECOND);
--- a/crates/engine/tests/sessions/main.rs
+++ b/crates/engine/tests/sessions/main.rs
@@ -1,5 +1,5 @@
-//! Sessions of the engine in simulated time: nodes that answer late, wrongly or not at all, viewers that leave and
-//! ask again, nodes that fail and come back.
+//! Sessions of the engine in simulated time: nodes that answer late, with errors or not at all, nodes that fail and
+//! restart, and viewers that leave and retry.
 
 #[path = "../../../../tests/common/mod.rs"]
 mod common;
@@ -18,24 +18,24 @@
     for seed in 1..=30u64 {
         let mut simulation = Simulation::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         simulation.run_until(Timestamp::ZERO + 2 * SECOND);
-        for ask in 0..300 {
-            simulation.request_session(ask);
+        for number in 0..300 {
+            simulation.request_session(number);
             if simulation.random.below(3) == 0 {
                 simulation.inject_fault();
             }
             let wait = simulation.random.below(120) as i64 * MILLISECOND;
             simulation.run_until(simulation.now + wait);
         }
-        // No more faults: calls in flight are answered, pending ends confirmed.
+        // No more faults: calls in flight are answered, and pending ends are confirmed.
         for server in std::mem::take(&mut simulation.down) {
             simulation.connect_node(server);
         }
         simulation.run_until(simulation.now + 60 * SECOND);
-        for (ask, seen) in &simulation.requests {
+        for (request_id, request_state) in &simulation.requests {
             assert!(
-                seen.withdrawn || seen.answers == 1,
-                "seed {seed}: {ask:?} has {} answers",
-                seen.answers
+                request_state.withdrawn || request_state.answers == 1,
+                "seed {seed}: {request_id:?} has {} answers",
+                request_state.answers
             );
         }
         let held = simulation.engine.session_counts();
@@ -47,13 +47,13 @@
         let held_at_nodes: usize = simulation.held.values().map(BTreeSet::len).sum();
         assert_eq!(
             held_at_nodes, held.playing,
-            "seed {seed}: what nodes hold is what is known here"
+            "seed {seed}: the nodes hold exactly the sessions that play"
         );
         attempts += simulation.attempts;
     }
     assert!(
         attempts > 3000,
-        "the runs have to exercise the engine: {attempts} set-ups"
+        "too few set-up attempts to exercise the engine: {attempts}"
     );
 }
 
@@ -61,25 +61,29 @@
 fn requests_with_the_same_key_get_the_same_session() {
     let mut simulation = Simulation::new(1);
     simulation.run_until(Timestamp::ZERO + 2 * SECOND);
-    let new = SessionRequest {
+    let request = SessionRequest {
         viewer_key: "a".into(),
         class: "open".into(),
         title: "t1".into(),
         ..Default::default()
     };
-    for ask in 0..3 {
-        simulation.send_request(RequestId(ask), simulation.now + 4 * SECOND, new.clone());
+    for number in 0..3 {
+        simulation.send_request(
+            RequestId(number),
+            simulation.now + 4 * SECOND,
+            request.clone(),
+        );
     }
     assert_eq!(simulation.attempts, 1);
     let other = SessionRequest {
         title: "t2".into(),
-        ..new
+        ..request
     };
     simulation.send_request(RequestId(9), simulation.now, other);
     assert_eq!(
         simulation.requests[&RequestId(9)].answers,
         1,
-        "another title under a key in use clashes at once"
+        "a request for another title under a key in use is answered at once"
     );
     simulation.run_until(simulation.now + 10 * SECOND);
     assert!((0..3).all(|a| simulation.requests[&RequestId(a)].answers == 1));
@@ -90,28 +94,28 @@
 fn equal_inputs_give_equal_outputs() {
     let run = || {
         let mut engine = Engine::new(config(), Timestamp::ZERO);
-        let lines = (0..NODES)
+        let entries = (0..NODES)
             .map(|n| endpoint(n, EndpointState::Ready))
             .collect();
         engine.handle(
             Timestamp::ZERO,
             Input::EndpointsUpdated {
                 update: EndpointUpdate::Full,
-                endpoints: lines,
+                endpoints: entries,
             },
         );
-        for ask in 0..50 {
-            let new = SessionRequest {
-                viewer_key: format!("v{ask}"),
+        for number in 0..50 {
+            let request = SessionRequest {
+                viewer_key: format!("v{number}"),
                 class: "open".into(),
                 title: "t0".into(),
                 ..Default::default()
             };
             engine.handle(
-                Timestamp::ZERO + ask as i64 * 10 * MILLISECOND,
+                Timestamp::ZERO + number as i64 * 10 * MILLISECOND,
                 Input::RequestReceived {
-                    request_id: RequestId(ask),
-                    request: new,
+                    request_id: RequestId(number),
+                    request,
                 },
             );
         }
@@ -128,17 +132,17 @@
     for answer_first in [true, false] {
         let mut simulation = Simulation::new(1);
         simulation.run_until(Timestamp::ZERO + 2 * SECOND);
-        let new = SessionRequest {
+        let request = SessionRequest {
             viewer_key: "a".into(),
             class: "paid".into(),
             title: "t1".into(),
             ..Default::default()
         };
-        simulation.send_request(RequestId(0), simulation.now + 4 * SECOND, new);
+        simulation.send_request(RequestId(0), simulation.now + 4 * SECOND, request);
         let (call, (_, server, kind, _)) = simulation.calls.pop_first().unwrap();
         assert!(matches!(kind, CallKind::SetUpSession { .. }));
         simulation.execute(server, &kind);
-        let done = CallResult::Answered {
+        let call_result = CallResult::Answered {
             status: 201,
             not_started: false,
             load_report: LoadReport::default(),
@@ -148,17 +152,20 @@
         if answer_first {
             simulation.handle(Input::CallFinished {
                 call,
-                result: done.clone(),
+                result: call_result.clone(),
             });
         }
-        // The call was taken off the list: hand it back so that giving it up finds it.
+        // The call was removed above: insert it again, so that its cancellation finds it.
         simulation
             .calls
             .insert(call, (Timestamp::MAX, server, kind, 1));
         simulation.engine.handle_timeout(simulation.now);
         simulation.carry_out_outputs();
         if !answer_first {
-            simulation.handle(Input::CallFinished { call, result: done });
+            simulation.handle(Input::CallFinished {
+                call,
+                result: call_result,
+            });
         }
         simulation.calls.remove(&call);
         simulation.run_until(simulation.now + 20 * SECOND);
@@ -176,13 +183,13 @@
 fn end_confirmed_by_the_endpoint_list_leaves_no_call_in_flight() {
     let mut simulation = Simulation::new(1);
     simulation.run_until(Timestamp::ZERO + 2 * SECOND);
-    let new = SessionRequest {
+    let request = SessionRequest {
         viewer_key: "a".into(),
         class: "open".into(),
         title: "t1".into(),
         ..Default::default()
     };
-    simulation.send_request(RequestId(0), simulation.now + 4 * SECOND, new);
+    simulation.send_request(RequestId(0), simulation.now + 4 * SECOND, request);
     simulation.run_until(simulation.now + 10 * SECOND);
     let session = simulation.playing.pop_first().unwrap();
     simulation.handle(Input::EndSession { session });
@@ -191,8 +198,8 @@
         .values()
         .next()
         .cloned()
-        .expect("the node is told to end it");
-    // The node never answers; the list says that it is gone.
+        .expect("a call to end the session");
+    // The node never answers; the endpoint list then reports it as gone.
     simulation.handle(Input::EndpointsUpdated {
         update: EndpointUpdate::Delta,
         endpoints: vec![endpoint(server.0, EndpointState::Gone)],
@@ -201,8 +208,9 @@
     assert_eq!(simulation.engine.session_counts(), SessionCounts::default());
 }
 
-/// An incident of a scripted day of migrations: the node of a set-up in flight vanished, the list said so, and at the viewer's
-/// deadline the pending end counted as confirmed at once. The session was forgotten before its answer.
+/// Guards against a request that is never answered. The node of a set-up in flight is removed from the endpoint list,
+/// so at the viewer's deadline the end of the attempt counts as confirmed at once: the session must not be removed
+/// before its request is answered.
 #[test]
 fn set_up_at_a_removed_node_is_answered_at_the_deadline() {
     for class in ["open", "paid"] {
@@ -219,8 +227,13 @@
                 ..Default::default()
             },
         );
-        let (_, server, ..) = simulation.calls.values().next().cloned().expect("a set-up");
-        // None of them ever answers, and all are gone.
+        let (_, server, ..) = simulation
+            .calls
+            .values()
+            .next()
+            .cloned()
+            .expect("a set-up call");
+        // No node answers any more, and none is available.
         simulation
             .calls
             .values_mut()
@@ -235,10 +248,10 @@
                 },
             )
         });
-        let lines = gone.collect();
+        let entries = gone.collect();
         simulation.handle(Input::EndpointsUpdated {
             update: EndpointUpdate::Delta,
-            endpoints: lines,
+            endpoints: entries,
         });
         simulation.run_until(simulation.now + 6 * SECOND);
         assert_eq!(simulation.requests[&RequestId(0)].answers, 1);
@@ -246,16 +259,16 @@
     }
 }
 
-/// A director that is out of file descriptors: nothing is charged to nodes, and requests are rejected at once.
+/// A director that is out of file descriptors rejects requests at once, and does not count that as a fault of nodes.
 #[test]
-fn unsent_calls_are_charged_to_no_node() {
+fn unsent_calls_do_not_count_against_nodes() {
     let mut simulation = Simulation::new(1);
     simulation.run_until(Timestamp::ZERO + 2 * SECOND);
-    for ask in 0..40 {
-        let class = if ask % 2 == 0 { "open" } else { "paid" };
-        let (viewer, title) = (format!("v{ask}"), format!("t{}", ask % 6));
+    for number in 0..40 {
+        let class = if number % 2 == 0 { "open" } else { "paid" };
+        let (viewer, title) = (format!("v{number}"), format!("t{}", number % 6));
         simulation.send_request(
-            RequestId(ask),
+            RequestId(number),
             simulation.now + 4 * SECOND,
             SessionRequest {
                 viewer_key: viewer,
@@ -271,24 +284,24 @@
             });
         }
         assert_eq!(
-            simulation.requests[&RequestId(ask)].answers,
+            simulation.requests[&RequestId(number)].answers,
             1,
-            "turned away at once"
+            "rejected at once"
         );
     }
     assert_eq!(
         simulation.engine.session_counts(),
         SessionCounts::default(),
-        "no end is pending for what was never sent"
+        "no end is pending for calls that were never sent"
     );
-    // It is over: every node takes sessions of both classes at once, as none of them has failed.
+    // Once descriptors are available again, every node gets sessions at once, as none of them has failed.
     let before = simulation.attempts;
-    for ask in 100..124 {
+    for number in 100..124 {
         simulation.now += 100 * MILLISECOND;
-        let (viewer, title) = (format!("w{ask}"), format!("t{}", ask % 6));
+        let (viewer, title) = (format!("w{number}"), format!("t{}", number % 6));
         let class = "paid".to_string();
         simulation.send_request(
-            RequestId(ask),
+            RequestId(number),
             simulation.now + 4 * SECOND,
             SessionRequest {
                 viewer_key: viewer,
--- a/crates/engine/tests/sessions/world.rs
+++ b/crates/engine/tests/sessions/world.rs
@@ -1,4 +1,4 @@
-//! A director, its viewers and its nodes in simulated time. What must hold whatever happens is checked throughout.
+//! A director, its viewers and its nodes in simulated time. Invariants are checked on every output.
 
 use crate::common::RandomNumbers;
 use shalewall::{
@@ -114,7 +114,7 @@
     }
 }
 
-/// A viewer's request.
+/// The state of a viewer's request.
 #[derive(Default)]
 pub struct RequestState {
     pub due: Timestamp,
@@ -127,17 +127,17 @@
     pub engine: Engine,
     pub now: Timestamp,
     pub requests: BTreeMap<RequestId, RequestState>,
-    /// Calls in flight: when they are answered, by which node, and which of a hundred fates they have.
+    /// Calls in flight: when and by which node they are answered, and a random percentage that selects the result.
     pub calls: BTreeMap<CallId, (Timestamp, ServerId, CallKind, u64)>,
-    /// What each node holds.
+    /// The attempts that each node holds.
     pub held: BTreeMap<ServerId, BTreeSet<SessionAttempt>>,
-    /// What each node was told to end.
+    /// The attempts that each node was called to end.
     pub ended: BTreeSet<(ServerId, SessionId, u32)>,
-    /// Set-ups of paid sessions that may have been executed.
+    /// Set-ups of at-most-once sessions ("paid") that may have been executed, by session.
     pub paid: BTreeMap<SessionId, u32>,
-    /// Nodes whose processes are gone.
+    /// Nodes whose processes have failed.
     pub down: BTreeSet<ServerId>,
-    /// Sessions whose viewers were told that they play.
+    /// Sessions whose viewers have been answered that they play.
     pub playing: BTreeSet<SessionId>,
     pub random: RandomNumbers,
     /// Set-up attempts sent.
@@ -178,17 +178,20 @@
         while let Some(output) = self.engine.poll_output() {
             match output {
                 Output::Answer { request_id, answer } => {
-                    let seen = self
+                    let request_state = self
                         .requests
                         .get_mut(&request_id)
-                        .expect("an answer to nobody");
-                    seen.answers += 1;
-                    assert_eq!(seen.answers, 1, "one answer for {request_id:?}");
-                    assert!(!seen.withdrawn, "an answer to one who left");
+                        .expect("only known requests are answered");
+                    request_state.answers += 1;
+                    assert_eq!(
+                        request_state.answers, 1,
+                        "{request_id:?} is answered more than once"
+                    );
+                    assert!(!request_state.withdrawn, "a withdrawn request is answered");
                     assert!(
-                        self.now <= seen.due + 20 * MILLISECOND,
-                        "an answer {:?} late",
-                        self.now - seen.due
+                        self.now <= request_state.due + 20 * MILLISECOND,
+                        "the answer is {:?} late",
+                        self.now - request_state.due
                     );
                     if let Answer::Playing { session, .. } = answer {
                         self.playing.insert(session);
@@ -205,33 +208,33 @@
                     } = &kind
                     {
                         self.attempts += 1;
-                        let again = self.calls.values().any(
+                        let already_in_flight = self.calls.values().any(
                             |(_, _, k, _)| matches!(k, CallKind::SetUpSession { session: s, .. } if s == session),
                         );
-                        assert!(!again, "two attempts in flight");
+                        assert!(!already_in_flight, "two attempts of {session:?} in flight");
                         if class == "paid" {
                             assert_eq!(
                                 self.paid.get(session),
                                 None,
-                                "paid twice, attempt {attempt}"
+                                "an at-most-once session is set up again by attempt {attempt}"
                             );
                         }
                     }
-                    let how = self.random.below(100);
-                    let wait = if how < 70 {
+                    let percentage = self.random.below(100);
+                    let wait = if percentage < 70 {
                         self.random.below(200)
                     } else {
                         self.random.below(6000)
                     } as i64
                         * MILLISECOND;
                     self.calls
-                        .insert(call, (self.now + wait, server, kind, how));
+                        .insert(call, (self.now + wait, server, kind, percentage));
                 }
                 Output::CancelCall { call } => {
-                    // Given up: it may still be executed.
-                    let (_, server, kind, how) =
-                        self.calls.remove(&call).expect("a call in flight");
-                    if how % 2 == 0 {
+                    // A cancelled call may still be executed.
+                    let (_, server, kind, percentage) =
+                        self.calls.remove(&call).expect("the call is in flight");
+                    if percentage % 2 == 0 {
                         self.execute(server, &kind);
                     }
                 }
@@ -240,7 +243,7 @@
         }
     }
 
-    /// The call reaches the node and takes effect.
+    /// Executes a call at its node.
     pub fn execute(&mut self, server: ServerId, kind: &CallKind) {
         if self.down.contains(&server) {
             return;
@@ -277,9 +280,9 @@
     }
 
     pub fn answer_call(&mut self, call: CallId) {
-        let (_, server, kind, how) = self.calls.remove(&call).unwrap();
+        let (_, server, kind, percentage) = self.calls.remove(&call).unwrap();
         let load = LoadReport {
-            link_utilization: Some(how as f64 / 100.0),
+            link_utilization: Some(percentage as f64 / 100.0),
             ..LoadReport::default()
         };
         let answered = |status, not_started| CallResult::Answered {
@@ -289,33 +292,33 @@
             media: Some("m".into()),
         };
         let set_up = matches!(kind, CallKind::SetUpSession { .. });
-        let done = if self.down.contains(&server) {
-            if how < 50 {
+        let result = if self.down.contains(&server) {
+            if percentage < 50 {
                 CallResult::NotStarted("refused".into())
             } else {
                 CallResult::MaybeExecuted("reset".into())
             }
-        } else if set_up && how >= 92 {
+        } else if set_up && percentage >= 92 {
             self.execute(server, &kind);
             CallResult::MaybeExecuted("cut".into())
-        } else if set_up && how >= 86 {
+        } else if set_up && percentage >= 86 {
             answered(503, true)
-        } else if set_up && how >= 80 {
+        } else if set_up && percentage >= 80 {
             answered(500, false)
         } else {
             self.execute(server, &kind);
             answered(201, false)
         };
         if let (CallKind::SetUpSession { session, class, .. }, CallResult::MaybeExecuted(_)) =
-            (&kind, &done)
+            (&kind, &result)
             && class == "paid"
         {
             self.paid.entry(*session).or_default();
         }
-        self.handle(Input::CallFinished { call, result: done });
+        self.handle(Input::CallFinished { call, result });
     }
 
-    /// Lets time pass up to `until`; calls are answered and timers ring when they are due.
+    /// Advances time to `until`; answers calls and fires timers when they are due.
     pub fn run_until(&mut self, until: Timestamp) {
         loop {
             let call = self.calls.iter().map(|(id, (due, ..))| (*due, *id)).min();
@@ -343,7 +346,7 @@
         }
     }
 
-    /// One of sixty viewers asks for one of six titles.
+    /// Sends a request of one of 60 viewers for one of 6 titles, with a random class.
     pub fn request_session(&mut self, number: u64) {
         let class = if self.random.below(2) == 0 {
             "open"
@@ -382,7 +385,7 @@
             }
             1 if self.down.remove(&server) => self.connect_node(server),
             2 => {
-                // A viewer ends at its node.
+                // A session ends at its node.
                 let one = self.held[&server].iter().next().copied();
                 if let Some(SessionAttempt { session, attempt }) = one {
                     self.held
@@ -397,9 +400,9 @@
             }
             3 => {
                 let open = |(_, s): &(&RequestId, &RequestState)| s.answers == 0 && !s.withdrawn;
-                if let Some(ask) = self.requests.iter().find(open).map(|(id, _)| *id) {
-                    self.requests.get_mut(&ask).unwrap().withdrawn = true;
-                    self.handle(Input::RequestWithdrawn { request_id: ask });
+                if let Some(request_id) = self.requests.iter().find(open).map(|(id, _)| *id) {
+                    self.requests.get_mut(&request_id).unwrap().withdrawn = true;
+                    self.handle(Input::RequestWithdrawn { request_id });
                 }
             }
             _ => {
