--- a/crates/migration/src/coordinator.rs
+++ b/crates/migration/src/coordinator.rs
@@ -1,8 +1,8 @@
-//! The director's side of the migrations of one session: one migration at a time, every message repeated until it is
-//! answered, the source released last.
+//! The director's side of the migrations of one session. One migration is in progress at a time, every message is
+//! repeated until it is answered, and the source is released last.
 //!
-//! [`events`] lists what goes in and out, `inputs` handles what goes in, and `recovery` rebuilds a coordinator from
-//! what nodes hold after the director's process has restarted.
+//! [`events`] defines the inputs and outputs, `inputs` handles the inputs, and `recovery` rebuilds a coordinator from
+//! the reports of nodes after the director has restarted.
 
 pub mod events;
 mod inputs;
@@ -14,34 +14,35 @@
 use shalewall::{ServerId, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A message without an answer is repeated after this.
+/// Interval at which a message is repeated until it is answered.
 pub const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// A session that no node serves any more is given up after this: its player's buffer has run dry by then. Until then
-/// it can still be migrated, since the director has its booking.
+/// Time after which a session that no node serves is given up, because its player's buffer has run empty by then. Until
+/// then it can still be migrated, since the director has not released its admission.
 pub const ORPHAN_TIMEOUT: TimeDelta = TimeDelta::from_secs(3);
-/// A migration that was found under way, or replaces one whose target failed, has so long for its target to be ready.
+/// Time limit for the target of a migration that was found in progress or replaces one whose target failed.
 const RESUMED_MIGRATION_TIMEOUT: TimeDelta = TimeDelta::from_secs(1);
 
-/// How far a migration is.
+/// The phase of a migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// The target has been asked to prepare.
+    /// The target has been requested to prepare.
     Preparing,
-    /// The target is ready, and the player has been told.
+    /// The target is ready and has been offered to the player.
     Offered,
-    /// It took too long, or the target changed its answer: the target decides whether the migration happened.
+    /// The deadline has passed, or the target has rejected an epoch that it had prepared. The target's answer to the
+    /// cancellation decides whether the migration happens.
     Cancelling,
 }
 
-/// The migration that is under way.
+/// The migration in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Migration {
     target: ServerId,
     epoch: Epoch,
     phase: Phase,
-    /// Given up then, unless the player has fetched.
+    /// When the migration is cancelled, unless the player has fetched by then.
     deadline: Timestamp,
-    /// The target says that the player has fetched there.
+    /// Whether the target has reported that the player has fetched from it.
     fetched: bool,
 }
 
@@ -51,26 +52,26 @@
     }
 }
 
-/// The migrations of one session.
+/// Coordinates the migrations of one session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MigrationCoordinator {
-    /// Where the session plays as far as is known, and under which epoch.
+    /// The last known node and epoch of the player.
     current_node: ServerId,
     current_epoch: Epoch,
     /// The greatest epoch ever used.
     latest_epoch: Epoch,
     migration: Option<Migration>,
-    /// Releases that nodes have not confirmed yet, up to which epoch each.
+    /// Releases that nodes have not confirmed yet, and the epoch up to which each of them releases.
     pending_releases: BTreeMap<ServerId, Epoch>,
     ended: bool,
-    /// The current node has failed: a migration that comes later than this comes too late.
+    /// Set when the current node has failed: the time at which the session is lost if it has not been migrated.
     orphaned_until: Option<Timestamp>,
     retry_at: Option<Timestamp>,
     outputs: VecDeque<Output>,
 }
 
 impl MigrationCoordinator {
-    /// A session that plays where it was set up.
+    /// Creates the coordinator of a session that plays at the node where it was set up.
     pub fn new(node: ServerId) -> MigrationCoordinator {
         MigrationCoordinator {
             current_node: node,
@@ -85,27 +86,27 @@
         }
     }
 
-    /// Where the session plays, as far as is known.
+    /// The node at which the session plays, as far as is known.
     pub fn current_node(&self) -> ServerId {
         self.current_node
     }
 
-    /// The epoch that it plays under.
+    /// The epoch that it plays.
     pub fn current_epoch(&self) -> Epoch {
         self.current_epoch
     }
 
-    /// Where it is being migrated to.
+    /// The target of the migration in progress.
     pub fn target(&self) -> Option<ServerId> {
         self.migration.map(|migration| migration.target)
     }
 
-    /// Whether a migration is under way.
+    /// Whether a migration is in progress.
     pub fn is_migrating(&self) -> bool {
         self.migration.is_some()
     }
 
-    /// Whether nothing is under way and nothing has to be repeated.
+    /// Whether no migration is in progress, no release is pending and the session is not orphaned.
     pub fn is_idle(&self) -> bool {
         let waits_for_target = self.orphaned_until.is_some() && !self.ended;
         self.migration.is_none() && self.pending_releases.is_empty() && !waits_for_target
@@ -121,22 +122,23 @@
         self.orphaned_until.is_some() && !self.ended
     }
 
-    /// The greatest epoch that the session was ever migrated under.
+    /// The greatest epoch that has been used for the session.
     pub fn latest_epoch(&self) -> Epoch {
         self.latest_epoch
     }
 
-    /// The next thing to do; call it until it returns nothing.
+    /// Returns the next output. Call it until it returns `None`.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`MigrationCoordinator::handle_timeout`] is due.
+    /// The time at which [`MigrationCoordinator::handle_timeout`] is due.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
         self.retry_at
     }
 
-    /// Starts a migration that is given up at `deadline`. False: one is under way, or this node can't be its target.
+    /// Starts a migration that is cancelled at `deadline`. Returns `false` if the session has ended, a migration is in
+    /// progress, or the target is the current node or has not confirmed a release yet.
     pub fn start(&mut self, now: Timestamp, target: ServerId, deadline: Timestamp) -> bool {
         let release_pending = self.pending_releases.contains_key(&target);
         if self.ended || self.migration.is_some() || target == self.current_node || release_pending
@@ -147,9 +149,9 @@
         true
     }
 
-    /// The player says which epoch it plays. One that is not known here is of a node that an earlier process had
-    /// migrated the session to and that has not reported yet: the session has to be migrated under a greater epoch,
-    /// since a player never goes back to a lesser one.
+    /// Handles the epoch that the player reports to play. An unknown epoch was migrated by an earlier process to a node
+    /// that has not reported yet: the session has to be migrated again under a greater epoch, since a player never
+    /// returns to a lower one.
     pub fn observe_player_epoch(&mut self, epoch: Epoch) {
         let of_migration = self
             .migration
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Gives up the migration if its player has not been told of it yet; one that the player knows of goes on.
+    /// Abandons the migration if its target has not been offered to the player yet. Otherwise it continues.
     pub fn withdraw_target(&mut self, now: Timestamp) {
         let withdrawable = self
             .migration
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Repeats what has no answer, and gives up what took too long.
+    /// Repeats unanswered messages, and expires the migration and the orphaned session.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.expire_migration(now);
         self.expire_orphan(now);
@@ -189,7 +191,7 @@
             .as_mut()
             .filter(|migration| now >= migration.deadline && !migration.fetched);
         match late {
-            // The player has never heard of it.
+            // The target was never offered to the player.
             Some(migration) if migration.phase == Phase::Preparing => self.abandon(),
             Some(migration) => migration.phase = Phase::Cancelling,
             None => {}
@@ -226,7 +228,7 @@
         });
     }
 
-    /// Asks a target to prepare, under a new epoch.
+    /// Starts a migration under a new epoch by requesting the target to prepare.
     fn prepare(&mut self, now: Timestamp, target: ServerId, deadline: Timestamp) {
         self.latest_epoch = self.latest_epoch.next();
         let epoch = self.latest_epoch;
@@ -245,7 +247,7 @@
         self.retry_at = Some(now + RETRY_INTERVAL);
     }
 
-    /// Goes on with a migration whose player has fetched: it is offered until the player says that it plays.
+    /// Resumes a migration whose player has fetched: the target is offered until the player confirms the switch.
     fn adopt(&mut self, now: Timestamp, target: ServerId, epoch: Epoch) {
         self.latest_epoch = self.latest_epoch.max(epoch);
         self.migration = Some(Migration {
@@ -261,8 +263,8 @@
         });
     }
 
-    /// Ends a migration that the player will not take part in: it was never told of it, or has declined. The target
-    /// is told until it answers; the next migration need not wait for that.
+    /// Ends a migration to which the player will not switch, because the target was never offered or the player has
+    /// declined. The release is repeated until the target confirms it; the next migration does not wait for that.
     fn abandon(&mut self) {
         let Some(migration) = self.migration else {
             return;
@@ -273,7 +275,7 @@
         }
     }
 
-    /// The migration did not happen.
+    /// Ends a migration that did not happen.
     fn abort(&mut self, target: ServerId) {
         self.migration = None;
         self.outputs.push_back(Output::Aborted { target });
@@ -282,7 +284,7 @@
         }
     }
 
-    /// Asks a node to release the session up to an epoch, until it confirms.
+    /// Requests a node to release the session up to an epoch. Repeated until the node confirms.
     fn release(&mut self, node: ServerId, epoch: Epoch) {
         let pending = self.pending_releases.entry(node).or_insert(epoch);
         *pending = (*pending).max(epoch);
--- a/crates/migration/src/coordinator/events.rs
+++ b/crates/migration/src/coordinator/events.rs
@@ -1,59 +1,59 @@
-//! What a [`MigrationCoordinator`](super::MigrationCoordinator) is told, and what it asks its caller to do.
+//! The inputs and outputs of a [`MigrationCoordinator`](super::MigrationCoordinator).
 
 use crate::Epoch;
 use crate::node::{CancelOutcome, SessionEpochs};
 use shalewall::ServerId;
 
-/// What one node says that it holds of a session.
+/// A node's report on one session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeReport {
-    /// The node that says so.
+    /// The reporting node.
     pub node: ServerId,
-    /// The epochs that it serves and has prepared.
+    /// The epochs that it serves or has prepared.
     pub epochs: SessionEpochs,
 }
 
-/// Something that a node, a player or the viewer has said.
+/// A message from a node or the player, or an event in the director.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// The target is ready to be fetched from.
+    /// The target has prepared the epoch.
     Prepared {
         /// The target.
         node: ServerId,
-        /// The epoch that it prepared.
+        /// The prepared epoch.
         epoch: Epoch,
     },
-    /// The target will not prepare.
+    /// The target rejects the request to prepare.
     PrepareRejected {
         /// The target.
         node: ServerId,
-        /// The epoch that it was asked to prepare.
+        /// The epoch that it was requested to prepare.
         epoch: Epoch,
     },
-    /// The player has fetched this epoch from a node.
+    /// The player has fetched an epoch from a node.
     Serving {
         /// The node that serves it.
         node: ServerId,
         /// The epoch that it serves.
         epoch: Epoch,
     },
-    /// The player has decoded a picture of this epoch, and plays it.
+    /// The player has decoded a picture of an epoch, and plays it.
     PlayerSwitched {
         /// The epoch that it plays.
         epoch: Epoch,
     },
-    /// The player got no picture of this epoch in time. It will not play this epoch any more.
+    /// The player received no picture of an epoch in time. It will not play this epoch any more.
     PlayerDeclined {
         /// The epoch that it declines.
         epoch: Epoch,
     },
-    /// The target has answered a cancellation.
+    /// The target has answered a request to cancel.
     Cancelled {
         /// The target.
         node: ServerId,
-        /// The epoch that was to be cancelled.
+        /// The epoch to cancel.
         epoch: Epoch,
-        /// Whether the migration had happened before the cancellation came.
+        /// Whether the player had fetched the epoch before the cancellation.
         outcome: CancelOutcome,
     },
     /// A node has confirmed a release.
@@ -63,7 +63,7 @@
         /// Everything up to this epoch is released there.
         epoch: Epoch,
     },
-    /// The node's process is gone, and what it held with it.
+    /// The node's process has failed, and all its state is lost.
     NodeFailed {
         /// The node.
         node: ServerId,
@@ -72,53 +72,53 @@
     ViewerLeft,
 }
 
-/// What the director has to do. Messages may be lost: they are repeated until they are answered.
+/// An operation that the director has to carry out. Messages may be lost, so they are repeated until answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Send the target a ticket.
+    /// Request the target to prepare, with a ticket.
     Prepare {
-        /// Where the session plays now.
+        /// The node at which the session plays.
         source: ServerId,
-        /// Where it is to play.
+        /// The target.
         target: ServerId,
         /// The epoch of the migration.
         epoch: Epoch,
     },
-    /// Tell the player where it may fetch an epoch.
+    /// Offer the player an epoch to fetch.
     Offer {
-        /// The node that has it.
+        /// The node to fetch it from.
         node: ServerId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// Ask the target to cancel an epoch.
+    /// Request the target to cancel an epoch.
     Cancel {
         /// The target.
         node: ServerId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// Ask a node to release the session.
+    /// Request a node to release the session.
     Release {
         /// The node.
         node: ServerId,
-        /// Everything up to this epoch.
+        /// The greatest epoch to release.
         epoch: Epoch,
     },
-    /// The migration is over: the session plays at its target.
+    /// The migration has succeeded: the session plays at its target.
     Migrated {
-        /// Where it played.
+        /// The node at which it played before.
         source: ServerId,
-        /// Where it plays.
+        /// The node at which it plays now.
         target: ServerId,
     },
-    /// The migration is over: the session is where it was.
+    /// The migration has been aborted: the session stays at its source.
     Aborted {
-        /// Where it was to go.
+        /// The target.
         target: ServerId,
     },
-    /// The node that served the session is gone: the session has to be migrated at once, or it will be lost.
+    /// The node that served the session has failed: the session will be lost unless it is migrated at once.
     Orphaned,
-    /// No node holds the session any more, and no migration came in time.
+    /// No node serves the session, and it was not migrated in time.
     Lost,
 }
--- a/crates/migration/src/coordinator/inputs.rs
+++ b/crates/migration/src/coordinator/inputs.rs
@@ -1,5 +1,5 @@
-//! How a [`MigrationCoordinator`] takes what nodes, players and viewers say. Messages may come late, more than once
-//! or never, so each is compared with the migration that is under way before it counts.
+//! Input handling of the [`MigrationCoordinator`]. Messages may be delayed, duplicated or lost, so each one is matched
+//! against the migration in progress.
 
 use super::{
     Input, MigrationCoordinator, ORPHAN_TIMEOUT, Output, Phase, RESUMED_MIGRATION_TIMEOUT,
@@ -10,7 +10,7 @@
 use shalewall::{ServerId, Timestamp};
 
 impl MigrationCoordinator {
-    /// Takes one input. What is to be done then comes out of [`MigrationCoordinator::poll_output`].
+    /// Handles one input. The resulting outputs are returned by [`MigrationCoordinator::poll_output`].
     pub fn handle(&mut self, now: Timestamp, input: Input) {
         match input {
             Input::Prepared { node, epoch } => self.on_prepared(node, epoch),
@@ -52,7 +52,8 @@
             .filter(|migration| migration.matches(node, epoch) && !migration.fetched);
         match migration {
             Some(migration) if migration.phase == Phase::Preparing => self.abandon(),
-            // Another ticket for it may have been accepted meanwhile: only the answer to a cancellation is final.
+            // Another ticket for the epoch may have been accepted in the meantime: only the answer to a cancellation
+            // is final.
             Some(migration) => {
                 migration.phase = Phase::Cancelling;
                 self.outputs.push_back(Output::Cancel { node, epoch });
@@ -69,7 +70,7 @@
         } else if epoch < self.current_epoch {
             self.release(node, epoch);
         } else if epoch > self.current_epoch && self.migration.is_none() && !self.ended {
-            // A migration of the process before this one, which happened after all.
+            // A migration that was started by an earlier process has happened.
             self.adopt(now, node, epoch);
         }
     }
@@ -91,7 +92,7 @@
         });
     }
 
-    /// The player's answer is final: whatever the target has of this epoch, nobody will play it.
+    /// The player's decision is final: the epoch will not be played, whatever its state at the target.
     fn on_player_declined(&mut self, epoch: Epoch) {
         if self
             .migration
@@ -132,7 +133,7 @@
         }
         if self.current_node == node && self.orphaned_until.is_none() {
             self.orphaned_until = Some(now + ORPHAN_TIMEOUT);
-            // The target may have the session: nothing is lost before that is known.
+            // During a migration the target may serve the session, so its outcome is awaited first.
             if self.migration.is_none() {
                 self.outputs.push_back(Output::Orphaned);
             }
@@ -141,7 +142,7 @@
             return;
         };
         if migration.fetched && self.orphaned_until.is_none() {
-            // The player may have gone over to it: it is offered the source again, under a new epoch.
+            // The player may have switched to the failed target: it is offered the source again under a new epoch.
             self.outputs.push_back(Output::Aborted { target: node });
             let deadline = migration.deadline.max(now + RESUMED_MIGRATION_TIMEOUT);
             self.prepare(now, self.current_node, deadline);
--- a/crates/migration/src/coordinator/recovery.rs
+++ b/crates/migration/src/coordinator/recovery.rs
@@ -1,17 +1,17 @@
-//! Rebuilds a [`MigrationCoordinator`] after the director's process has restarted, from what nodes hold.
+//! Rebuilds a [`MigrationCoordinator`] from the reports of nodes after the director has restarted.
 
 use super::{Migration, MigrationCoordinator, NodeReport, Output, Phase, RETRY_INTERVAL};
 use crate::Epoch;
 use shalewall::{ServerId, Timestamp};
 
-/// One epoch of a session at one node. The order is that of the epochs.
+/// An epoch of a session at one node, ordered by epoch.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EpochAtNode {
     epoch: Epoch,
     node: ServerId,
 }
 
-/// The greatest of the epochs that nodes serve.
+/// The greatest epoch that a node serves.
 fn greatest_serving<'a>(reports: impl IntoIterator<Item = &'a NodeReport>) -> Option<EpochAtNode> {
     let serving = reports.into_iter().filter_map(|report| {
         Some(EpochAtNode {
@@ -22,7 +22,7 @@
     serving.max()
 }
 
-/// The greatest of the epochs that nodes have prepared.
+/// The greatest epoch that a node has prepared.
 fn greatest_prepared(reports: &[NodeReport]) -> Option<EpochAtNode> {
     let prepared = reports.iter().filter_map(|report| {
         Some(EpochAtNode {
@@ -34,11 +34,11 @@
 }
 
 impl MigrationCoordinator {
-    /// Goes on with a session that nodes hold; nothing where no node serves it.
+    /// Rebuilds the coordinator of a session. Returns `None` if no node serves it.
     ///
-    /// What was prepared and not fetched is cancelled. What is served under an earlier epoch stays until the player
-    /// has said that it plays the later one. `latest_epoch` is an epoch that no migration of the session has passed;
-    /// where that is not known, one far above those that nodes hold.
+    /// An epoch that is prepared and has not been fetched is cancelled. An earlier epoch that is still served is kept
+    /// until the player has confirmed that it plays the later one. `latest_epoch` is an upper bound of the epochs
+    /// that have been used for the session; if they are not known, one far above those that nodes hold.
     pub fn recover(
         reports: &[NodeReport],
         latest_epoch: Epoch,
@@ -50,7 +50,7 @@
         coordinator.current_epoch = latest.epoch;
         coordinator.latest_epoch = latest_epoch.max(latest.epoch);
         if let Some(earlier) = greatest_serving(others) {
-            // The player may be at any node that serves it: it is told of the latest, and says where it is.
+            // The player may play from either node: it is offered the latest epoch, and confirms what it plays.
             coordinator.current_node = earlier.node;
             coordinator.current_epoch = earlier.epoch;
             coordinator.adopt(now, latest.node, latest.epoch);
@@ -61,7 +61,7 @@
         Some(coordinator)
     }
 
-    /// Cancels a migration that an earlier process had begun; its target decides whether it happened.
+    /// Cancels a migration that was started by an earlier process. Its target decides whether it has happened.
     fn cancel_prepared(&mut self, now: Timestamp, prepared: EpochAtNode) {
         let EpochAtNode { epoch, node } = prepared;
         self.latest_epoch = self.latest_epoch.max(epoch);
--- a/crates/migration/src/node.rs
+++ b/crates/migration/src/node.rs
@@ -1,5 +1,5 @@
-//! The node's side of migrations. This is where a migration is decided: what is prepared under an epoch is either
-//! fetched by the player or cancelled by the director, whichever comes first.
+//! The node's side of migrations. The target node decides the outcome of a migration: an epoch that it has prepared is
+//! either fetched by the player or cancelled by the director, whichever comes first.
 
 use crate::Epoch;
 use crate::ticket::{Ticket, TicketKey, UnixMillis};
@@ -7,59 +7,59 @@
 use shalewall::{ServerId, SessionId};
 use std::collections::BTreeMap;
 
-/// The epochs that a node holds of one session.
+/// The epochs of one session at a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SessionEpochs {
-    /// The epoch that the player has fetched here.
+    /// The epoch that the player has fetched.
     pub serving: Option<Epoch>,
     /// The epoch that is ready to be fetched.
     pub prepared: Option<Epoch>,
 }
 
-/// Why a node does not prepare a session. Nothing has changed there then.
+/// Why a node does not prepare a session. The node's state is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum PrepareError {
-    /// The ticket is not of this service or not for this node, was changed, has expired, or is older than this process.
-    #[error("the ticket is not valid here, or has expired")]
+    /// The ticket was not issued by this service or not for this node, was modified, has expired, or is older than
+    /// this process.
+    #[error("the ticket is not valid at this node, or has expired")]
     InvalidTicket,
-    /// The session has ended here under this epoch or a later one, or a later epoch has come since.
-    #[error("the epoch has ended here, or a later one has come")]
+    /// The session has ended at this node under this epoch or a later one, or a later epoch is prepared or served.
+    #[error("the epoch has ended at this node, or a later one is prepared or served")]
     EpochEnded,
 }
 
-/// Why a node does not let a player fetch. Nothing has changed there then.
+/// Why a node rejects a player's fetch. The node's state is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum FetchError {
-    /// The session has ended here under this epoch or a later one.
-    #[error("the epoch has ended here")]
+    /// The session has ended at this node under this epoch or a later one.
+    #[error("the epoch has ended at this node")]
     EpochEnded,
-    /// Nothing of that epoch is prepared here.
-    #[error("the epoch is not prepared here")]
+    /// The epoch is not prepared at this node.
+    #[error("the epoch is not prepared at this node")]
     NotPrepared,
 }
 
-/// What became of a cancellation.
+/// The outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CancelOutcome {
-    /// Nothing of that epoch can be fetched here any more.
+    /// The epoch can't be fetched from this node any more.
     Cancelled,
-    /// The player had fetched it before: the node serves it, and the migration has happened.
+    /// The player had already fetched the epoch: the node serves it, and the migration has happened.
     AlreadyServing,
 }
 
-/// What one node's process holds of its sessions, as far as migrations go. Capacity, rates and streams are kept
-/// elsewhere.
+/// The migration state of the sessions of one node process. Capacity, rates and streams are managed elsewhere.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeSessions {
     started_at: UnixMillis,
     sessions: BTreeMap<SessionId, SessionEpochs>,
-    /// Up to which epoch each session has ended here: a message that comes late must not begin it again.
+    /// The epoch up to which each session has ended here, so that delayed messages do not start it again.
     ended_through: BTreeMap<SessionId, Epoch>,
 }
 
 impl NodeSessions {
-    /// A process that starts and holds nothing. Directors' clocks may differ from the node's by less than a start
-    /// takes.
+    /// The state of a process that has just started. The clocks of directors must not differ from the node's by more
+    /// than the time that a start takes.
     pub fn new(started_at: UnixMillis) -> NodeSessions {
         NodeSessions {
             started_at,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A session has been set up here: the only time that it is booked.
+    /// Records a session that has been set up at this node.
     pub fn set_up(&mut self, session: SessionId) {
         let epochs = SessionEpochs {
             serving: Some(Epoch(0)),
@@ -77,12 +77,13 @@
         self.sessions.insert(session, epochs);
     }
 
-    /// What is held of a session; the default where there is nothing.
+    /// The epochs of a session; the default if the node does not hold it.
     pub fn epochs(&self, session: SessionId) -> SessionEpochs {
         self.sessions.get(&session).copied().unwrap_or_default()
     }
 
-    /// Prepares to serve a session. The same ticket again has the same answer, also when it has been fetched meanwhile.
+    /// Prepares to serve a session. Idempotent: the same ticket gets the same result, even after the epoch has been
+    /// fetched.
     pub fn prepare(
         &mut self,
         own_id: ServerId,
@@ -99,8 +100,8 @@
         if latest == Some(ticket.epoch) {
             return Ok(());
         }
-        // Time limits the first use only: what has been prepared is limited by its lease. A ticket that was issued
-        // before this process started may have been used up by the process before it.
+        // The ticket's time limit applies to its first use only: a prepared epoch is limited by its lease. A ticket
+        // that was issued before this process started may have been used with the previous process.
         if now >= ticket.expires_at || ticket.issued_at < self.started_at {
             return Err(PrepareError::InvalidTicket);
         }
@@ -115,9 +116,9 @@
         Ok(())
     }
 
-    /// The player fetches. From then on this epoch is served, and can't be cancelled.
+    /// Handles a player's fetch. From then on the epoch is served, and can't be cancelled.
     pub fn fetch(&mut self, session: SessionId, epoch: Epoch) -> Result<(), FetchError> {
-        // What is served goes on, also where a later epoch has been cancelled here.
+        // An epoch that is being served continues, even if a later one has been cancelled at this node.
         if self.epochs(session).serving == Some(epoch) {
             return Ok(());
         }
@@ -137,13 +138,13 @@
         Ok(())
     }
 
-    /// Cancels what is prepared under an epoch, or may yet come to be. Can be asked again.
+    /// Cancels an epoch that is prepared, or that may be prepared by a delayed message. Idempotent.
     pub fn cancel(&mut self, session: SessionId, epoch: Epoch) -> CancelOutcome {
         let before = self.epochs(session);
         if before.serving.is_some_and(|serving| serving >= epoch) {
             return CancelOutcome::AlreadyServing;
         }
-        // A session that is served here under an earlier epoch goes on: only what is prepared goes.
+        // An earlier epoch that is being served continues: only the prepared one is dropped.
         let remaining = SessionEpochs {
             prepared: before.prepared.filter(|prepared| *prepared > epoch),
             ..before
@@ -153,7 +154,7 @@
         CancelOutcome::Cancelled
     }
 
-    /// The player has switched to a later epoch, or the session ends: what is here up to this epoch ends.
+    /// Releases a session up to an epoch, because the player has switched to a later one or the session ends.
     pub fn release(&mut self, session: SessionId, epoch: Epoch) {
         let before = self.epochs(session);
         let remaining = SessionEpochs {
@@ -164,7 +165,7 @@
         self.mark_ended(session, epoch);
     }
 
-    /// Forgets that a session has ended here; call it when no message of the session can come any more.
+    /// Forgets that a session has ended at this node. Call it when no message of the session can arrive any more.
     pub fn forget(&mut self, session: SessionId) {
         if !self.sessions.contains_key(&session) {
             self.ended_through.remove(&session);
--- a/crates/migration/src/planner.rs
+++ b/crates/migration/src/planner.rs
@@ -1,14 +1,14 @@
-//! When sessions are to be migrated, and how many at once. The target is chosen elsewhere.
+//! Decides when sessions are to be migrated, and how many at once. Targets are selected elsewhere.
 //!
-//! A migration is expensive: it takes capacity twice for a while, and the viewer may notice. So each needs a reason
-//! that is seen here, and has to be worth more than it costs:
-//! - the node is draining: it will be gone, at once or soon;
-//! - no node serves the session any more, and its player's buffer is not empty yet;
-//! - most players of a node report that they receive nothing, and a player's buffer lasts no longer than a migration
-//!   takes: the node stands still, or its link is cut;
-//! - the node reports a shortage that lasts longer than changes of rungs take to mend it.
+//! A migration is expensive: it uses capacity at two nodes for a while, and the viewer may notice it. So each one needs
+//! one of these reasons, and must be worth more than it costs:
+//! - the node is draining, so it will stop at once or soon;
+//! - no node serves the session, and its player's buffer is not empty yet;
+//! - most players of the node report that they receive no data, and a player's buffer lasts no longer than a migration
+//!   takes: the node is frozen, or its link is down;
+//! - the node reports a shortage that has lasted longer than rung changes take to resolve it.
 //!
-//! Reports that arrive just after this process itself stood still are not used: they are old.
+//! Reports that arrive just after this process itself was stalled are ignored, since they are outdated.
 
 mod node_state;
 mod policy;
@@ -20,38 +20,38 @@
 use shalewall::{ServerId, SessionId, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often nodes are checked while there is something to check.
+/// Interval between checks of the nodes, while there are sessions.
 const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// A check that is so late shows that this process stood still.
+/// A check that is overdue by more than this shows that this process was stalled.
 const STALL_THRESHOLD: TimeDelta = TimeDelta::from_millis(300);
-/// What arrives so soon after a stall may have been sent before it.
+/// Silence reports that arrive within this time after a stall may have been sent before it, and are ignored.
 const STALL_RECOVERY: TimeDelta = TimeDelta::from_millis(500);
-/// Where no node had capacity it is looked for again after this.
+/// Delay before a migration for which no node had capacity is retried.
 const CAPACITY_RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
-/// A player's buffer is taken to last so long at most.
+/// Upper limit for the buffer that a player reports.
 const MAX_BUFFER: TimeDelta = TimeDelta::from_secs(60);
 
-/// A session whose player can be migrated.
+/// The state of a session whose player supports migration.
 #[derive(Debug)]
 struct SessionState {
     node: ServerId,
-    /// When it is to end, as far as is known.
+    /// Its expected end, if known.
     ends_at: Option<Timestamp>,
-    /// No migration before then.
+    /// The earliest time of the next migration.
     not_before: Timestamp,
-    /// No migration on suspicion before then.
+    /// The earliest time of the next migration for a reason that is only suspected: a silent or short node.
     cooldown_until: Timestamp,
-    /// Where it is being migrated to.
+    /// The target of the migration in progress.
     target: Option<ServerId>,
 }
 
-/// The sessions whose players can be migrated, and what is known of their nodes.
+/// The sessions whose players support migration, and the state of their nodes.
 #[derive(Debug)]
 pub struct MigrationPlanner {
     policy: MigrationPolicy,
     sessions: BTreeMap<SessionId, SessionState>,
     nodes: BTreeMap<ServerId, NodeState>,
-    /// Nodes that sessions may have a reason to leave: only these are checked, however many others there are.
+    /// Nodes whose sessions may have a reason to migrate. Only these are checked, whatever the total number of nodes.
     nodes_to_check: BTreeSet<ServerId>,
     in_flight: usize,
     next_check: Option<Timestamp>,
@@ -60,7 +60,7 @@
 }
 
 impl MigrationPlanner {
-    /// A planner without sessions. `seed` determines which sessions leave a short node.
+    /// Creates a planner without sessions. `seed` determines which sessions are migrated from a node with a shortage.
     pub fn new(policy: MigrationPolicy, seed: u64) -> MigrationPlanner {
         MigrationPlanner {
             policy,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A session plays at a node, and its player can be migrated. `ends_at`: when it is to end, as far as is known.
+    /// Adds a session that plays at a node and whose player supports migration. `ends_at` is its expected end.
     pub fn add_session(
         &mut self,
         now: Timestamp,
@@ -96,12 +96,12 @@
         self.schedule_check(now);
     }
 
-    /// Whether a session's player can be migrated.
+    /// Whether the planner has this session.
     pub fn contains(&self, session: SessionId) -> bool {
         self.sessions.contains_key(&session)
     }
 
-    /// A session has ended, or its player can't be migrated any more.
+    /// Removes a session that has ended or whose player can't be offered a migration any more.
     pub fn remove_session(&mut self, session: SessionId) {
         let Some(state) = self.sessions.remove(&session) else {
             return;
@@ -112,7 +112,7 @@
         self.detach_session(state.node, session);
     }
 
-    /// Whether a node is draining, as the endpoint list says.
+    /// Sets whether a node is draining, according to the endpoint list.
     pub fn set_draining(&mut self, now: Timestamp, node: ServerId, draining: bool) {
         if draining || self.nodes.contains_key(&node) {
             self.nodes.entry(node).or_default().draining = draining;
@@ -122,7 +122,7 @@
         self.schedule_check(now);
     }
 
-    /// A player reports that it receives nothing, and how long its buffer lasts.
+    /// Records a player's report that it receives no data. `buffer` is the playing time left in its buffer.
     pub fn report_silence(&mut self, now: Timestamp, session: SessionId, buffer: TimeDelta) {
         self.detect_stall(now);
         let recovering = self
@@ -140,7 +140,7 @@
         self.schedule_check(now);
     }
 
-    /// No node serves a session any more.
+    /// Marks a session that no node serves any more.
     pub fn mark_orphaned(&mut self, now: Timestamp, session: SessionId) {
         if let Some(state) = self.sessions.get_mut(&session) {
             state.not_before = now;
@@ -151,7 +151,7 @@
         self.schedule_check(now);
     }
 
-    /// A node reports what part of its sessions' rates it delivers.
+    /// Records a node's report on the fraction of its sessions' rates that it delivers.
     pub fn report_delivery(&mut self, now: Timestamp, node: ServerId, delivered_fraction: f64) {
         let Some(state) = self.nodes.get_mut(&node) else {
             return;
@@ -161,12 +161,12 @@
         self.schedule_check(now);
     }
 
-    /// When [`MigrationPlanner::handle_timeout`] is due.
+    /// The time at which [`MigrationPlanner::handle_timeout`] is due.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
         self.next_check
     }
 
-    /// Forgets old reports, and nodes that there is no reason to check any more.
+    /// Drops outdated silence reports, and stops checking nodes without a reason for migrations.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.detect_stall(now);
         if self.next_check.is_none_or(|due| due > now) {
@@ -184,7 +184,7 @@
         self.schedule_check(now);
     }
 
-    /// Nodes whose players receive nothing: no new session should be placed there.
+    /// Nodes whose players receive no data: no new sessions should be placed there.
     pub fn silent_nodes(&self) -> Vec<ServerId> {
         let checked = self.nodes_to_check.iter().copied();
         checked
@@ -192,12 +192,12 @@
             .collect()
     }
 
-    /// Whether one more migration to a node may start now.
+    /// Whether the limits allow one more migration to a node.
     pub fn can_accept(&self, node: ServerId) -> bool {
         self.node_capacity(node) > 0
     }
 
-    /// A migration has started.
+    /// Records that a migration has started.
     pub fn migration_started(&mut self, session: SessionId, target: ServerId) {
         let Some(state) = self.sessions.get_mut(&session) else {
             return;
@@ -212,7 +212,7 @@
         }
     }
 
-    /// No other node had capacity for a session.
+    /// Defers the migration of a session for which no other node had capacity.
     pub fn defer_migration(&mut self, now: Timestamp, session: SessionId) {
         if let Some(state) = self.sessions.get_mut(&session) {
             state.not_before = now + CAPACITY_RETRY_INTERVAL;
@@ -220,7 +220,7 @@
         self.schedule_check(now);
     }
 
-    /// A migration is over. One that did not happen is tried again soon: its reason is still there.
+    /// Records that a migration is over. One that was aborted is retried soon, since its reason remains.
     pub fn migration_finished(&mut self, now: Timestamp, session: SessionId, migrated: bool) {
         let Some(state) = self.sessions.get_mut(&session) else {
             return;
@@ -250,7 +250,8 @@
         }
     }
 
-    /// Drops all reports if a check is long overdue: this process stood still, and they are old.
+    /// Drops all silence reports if a check is overdue by more than [`STALL_THRESHOLD`]: this process was stalled, and
+    /// the reports are outdated.
     fn detect_stall(&mut self, now: Timestamp) {
         if self
             .next_check
--- a/crates/migration/src/planner/node_state.rs
+++ b/crates/migration/src/planner/node_state.rs
@@ -1,17 +1,18 @@
-//! What the planner knows of one node: its sessions, and the signs that they have to leave it.
+//! The planner's state of one node: its sessions, and the reasons for them to migrate.
 
 use super::MigrationPolicy;
 use shalewall::{SessionId, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A player's report that it receives nothing is valid for so long; players repeat it while it is true.
+/// How long a player's silence report is valid. Players repeat it while they receive no data.
 const SILENCE_REPORT_AGE: TimeDelta = TimeDelta::from_millis(500);
-/// A node that delivers a lesser part of its sessions' rates is short.
+/// A node that delivers a smaller fraction of its sessions' rates has a shortage.
 const SHORTAGE_THRESHOLD: f64 = 0.95;
-/// Sessions leave a short node in groups, so far apart: the effect of one has to show before the next.
+/// Interval between groups of migrations from a node with a shortage: the effect of one group must show before the
+/// next one starts.
 const SHORTAGE_STEP_INTERVAL: TimeDelta = TimeDelta::from_secs(3);
 
-/// A player's report that it receives nothing.
+/// A player's report that it receives no data.
 #[derive(Clone, Copy, Debug)]
 struct SilenceReport {
     received_at: Timestamp,
@@ -22,24 +23,24 @@
 pub(super) struct NodeState {
     pub sessions: BTreeSet<SessionId>,
     silence_reports: BTreeMap<SessionId, SilenceReport>,
-    /// Those of the sessions that no node serves any more.
+    /// The sessions that no node serves any more.
     pub orphans: BTreeSet<SessionId>,
     pub draining: bool,
     short_since: Option<Timestamp>,
-    /// The part of its sessions' rates that it delivered last.
+    /// The last reported fraction of its sessions' rates that it delivers.
     pub delivered_fraction: f64,
     last_shortage_step: Option<Timestamp>,
-    /// Migrations under way from or to it.
+    /// Migrations in progress from or to this node.
     pub in_flight: usize,
 }
 
 impl NodeState {
-    /// Whether nothing has to be remembered of it.
+    /// Whether its state can be dropped.
     pub fn is_unused(&self) -> bool {
         self.sessions.is_empty() && !self.draining && self.in_flight == 0
     }
 
-    /// Whether there may be a reason for its sessions to leave.
+    /// Whether there may be a reason for its sessions to migrate.
     pub fn needs_checks(&self) -> bool {
         self.draining
             || self.short_since.is_some()
@@ -80,20 +81,20 @@
         self.last_shortage_step = Some(now);
     }
 
-    /// When the buffer of a session's player will be empty, if the player has reported that it receives nothing.
+    /// When the buffer of a session's player will be empty, if the player has reported silence.
     pub fn buffer_empty_at(&self, session: SessionId) -> Option<Timestamp> {
         let report = self.silence_reports.get(&session);
         report.map(|report| report.buffer_empty_at)
     }
 
-    /// Whether most players there receive nothing: at least two, where there are so many.
+    /// Whether at least half of its players receive no data; at least two of them, unless there is only one.
     pub fn is_silent(&self) -> bool {
         let silent = self.silence_reports.len();
         let all = self.sessions.len();
         all > 0 && silent >= 2.min(all) && 2 * silent >= all
     }
 
-    /// Whether it has been short for long enough that sessions have to leave it now.
+    /// Whether its shortage has lasted long enough for the next group of sessions to migrate now.
     pub fn is_shortage_due(&self, policy: &MigrationPolicy, now: Timestamp) -> bool {
         let lasts = self
             .short_since
@@ -104,8 +105,8 @@
         lasts && step_due
     }
 
-    /// The sessions with a reason of their own to leave.
-    pub fn sessions_in_trouble(&self) -> BTreeSet<SessionId> {
+    /// The sessions that are silent or orphaned.
+    pub fn silent_or_orphaned_sessions(&self) -> BTreeSet<SessionId> {
         let silent = self.silence_reports.keys();
         silent.chain(&self.orphans).copied().collect()
     }
--- a/crates/migration/src/planner/policy.rs
+++ b/crates/migration/src/planner/policy.rs
@@ -1,43 +1,43 @@
-//! When a migration is allowed, and why one is wanted.
+//! The limits of migrations, and the reasons for them.
 
 use shalewall::{SessionId, TimeDelta};
 
-/// The limits of migrations.
+/// Limits and costs of migrations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MigrationPolicy {
-    /// A migration takes about so long: a player whose buffer lasts longer waits.
+    /// Typical duration of a migration. A silent player whose buffer lasts longer is not migrated yet.
     pub duration: TimeDelta,
-    /// No session is migrated again within this on suspicion. A draining node and a lost session are facts, and
-    /// don't wait.
+    /// Minimum time between migrations of a session because of a silent or short node. Orphaned sessions and those
+    /// of draining nodes do not wait, since these reasons are certain.
     pub cooldown: TimeDelta,
-    /// A shortage that has lasted so long is not mended by changes of rungs.
+    /// Minimum duration of a shortage that causes migrations: rung changes have not resolved it by then.
     pub min_shortage: TimeDelta,
-    /// Migrations under way from and to one node at most.
+    /// Maximum number of concurrent migrations from and to one node.
     pub max_per_node: usize,
-    /// Migrations under way of this director at most.
+    /// Maximum number of concurrent migrations of this director.
     pub max_per_director: usize,
-    /// A migration costs as much as so many seconds of the session.
+    /// The cost of a migration, in seconds of playing time of the session.
     pub cost_s: f64,
 }
 
-/// Why a session is to be migrated. The most urgent reason is the least.
+/// Why a session is to be migrated, in descending order of urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MigrationReason {
-    /// No node serves it any more.
+    /// No node serves the session any more.
     Orphaned,
-    /// Most players of its node receive nothing.
+    /// Most players of its node receive no data.
     NodeSilent,
     /// Its node is draining.
     NodeDraining,
-    /// Its node delivers less than the rates of its sessions.
+    /// Its node has a shortage: it delivers less than the rates of its sessions.
     NodeShort,
 }
 
-/// A session that is to be migrated now.
+/// A session that is due for migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueMigration {
     /// The session.
     pub session: SessionId,
-    /// Why.
+    /// The reason.
     pub reason: MigrationReason,
 }
--- a/crates/migration/src/planner/selection.rs
+++ b/crates/migration/src/planner/selection.rs
@@ -1,24 +1,25 @@
-//! Which sessions are to be migrated now: those with a reason, the most urgent first, as many as the policy allows.
+//! Selects the sessions that are due for migration: those with a reason, the most urgent first, within the limits of
+//! the policy.
 
 use super::node_state::NodeState;
 use super::{DueMigration, MigrationPlanner, MigrationReason, SessionState};
 use shalewall::{ServerId, SessionId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A session without a known end is taken to last so long yet, seconds.
+/// Assumed remaining duration of a session without a known end, seconds.
 const ASSUMED_REMAINING_S: f64 = 60.0;
 
-/// A session with a reason to be migrated. The most urgent is the least.
+/// A session with a reason to be migrated. The most urgent sorts first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     reason: MigrationReason,
-    /// Orders those of one reason, microseconds: when the player's buffer is empty, or how long the session lasts
-    /// (negative: the longest first).
+    /// Order among sessions with the same reason, in microseconds: when the player's buffer will be empty, or the
+    /// negated end of the session, so that the longest comes first.
     rank_micros: i64,
     session: SessionId,
 }
 
-/// A node as one selection looks at it.
+/// A node, with the conditions that are the same for all its sessions in one selection.
 struct NodeView<'a> {
     node: &'a NodeState,
     is_silent: bool,
@@ -26,8 +27,9 @@
 }
 
 impl MigrationPlanner {
-    /// The sessions to be migrated now, the most urgent first, as many as may be under way at once. Each has to be
-    /// followed by [`MigrationPlanner::migration_started`] or [`MigrationPlanner::defer_migration`].
+    /// Returns the sessions that are due for migration, the most urgent first, within the limits on concurrent
+    /// migrations. For each of them, the caller has to call [`MigrationPlanner::migration_started`] or
+    /// [`MigrationPlanner::defer_migration`].
     pub fn due_migrations(&mut self, now: Timestamp) -> Vec<DueMigration> {
         if self.in_flight >= self.policy.max_per_director {
             return Vec::new();
@@ -47,12 +49,12 @@
                 is_silent: node.is_silent(),
                 is_shortage_due: node.is_shortage_due(&self.policy, now),
             };
-            let in_trouble: BTreeSet<SessionId>;
+            let silent_or_orphaned: BTreeSet<SessionId>;
             let sessions = if node.draining || view.is_shortage_due {
                 &node.sessions
             } else {
-                in_trouble = node.sessions_in_trouble();
-                &in_trouble
+                silent_or_orphaned = node.silent_or_orphaned_sessions();
+                &silent_or_orphaned
             };
             candidates.extend(
                 sessions
@@ -63,7 +65,7 @@
         candidates
     }
 
-    /// Whether a session has to leave its node, and how urgently.
+    /// Returns a session as a candidate if it has a reason to be migrated.
     fn candidate(
         &self,
         now: Timestamp,
@@ -74,10 +76,10 @@
         if state.target.is_some() || now < state.not_before {
             return None;
         }
-        let may_act_on_suspicion = now >= state.cooldown_until;
-        let silent = || may_act_on_suspicion && self.leaves_silent_node(now, view, session);
+        let cooldown_over = now >= state.cooldown_until;
+        let silent = || cooldown_over && self.should_leave_silent_node(now, view, session);
         let draining = || view.node.draining && self.is_worthwhile(now, state, 1.0);
-        let short = || may_act_on_suspicion && self.leaves_short_node(now, view, session, state);
+        let short = || cooldown_over && self.should_leave_short_node(now, view, session, state);
         let reason = if view.node.orphans.contains(&session) {
             MigrationReason::Orphaned
         } else if silent() {
@@ -96,14 +98,19 @@
         })
     }
 
-    fn leaves_silent_node(&self, now: Timestamp, view: &NodeView<'_>, session: SessionId) -> bool {
+    fn should_leave_silent_node(
+        &self,
+        now: Timestamp,
+        view: &NodeView<'_>,
+        session: SessionId,
+    ) -> bool {
         let buffer_empty_at = view.node.buffer_empty_at(session);
         view.is_silent
             && buffer_empty_at.is_some_and(|empty_at| empty_at - now <= self.policy.duration)
     }
 
-    /// Of a short node's sessions so many leave, on average, as it does not deliver.
-    fn leaves_short_node(
+    /// Selects sessions of a short node at random, with the undelivered fraction of the rates as the probability.
+    fn should_leave_short_node(
         &self,
         now: Timestamp,
         view: &NodeView<'_>,
@@ -116,7 +123,7 @@
             && self.is_worthwhile(now, state, 1.0 - delivered_fraction)
     }
 
-    /// Whether what is left of a session is worth a migration that wins this part of each second.
+    /// Whether a migration is worth its cost, if it gains the fraction `gain` of the session's remaining time.
     fn is_worthwhile(&self, now: Timestamp, session: &SessionState, gain: f64) -> bool {
         let remaining_s = session
             .ends_at
@@ -124,7 +131,7 @@
         remaining_s * gain > self.policy.cost_s
     }
 
-    /// A pseudo-random number from 0 to 1 for a session at a time.
+    /// A pseudo-random number from 0 to 1 that depends on the session and the time.
     fn draw(&self, now: Timestamp, session: SessionId) -> f64 {
         unit_hash(self.seed ^ session.0 ^ now.as_micros() as u64)
     }
@@ -138,7 +145,7 @@
         }
     }
 
-    /// As many of the candidates as may be under way at once, of this director and of each node.
+    /// The first candidates that fit the limits on concurrent migrations of this director and of each node.
     fn within_limits(&self, candidates: Vec<Candidate>) -> Vec<DueMigration> {
         let mut capacity_of_nodes: BTreeMap<ServerId, usize> = BTreeMap::new();
         let director_capacity = self.policy.max_per_director - self.in_flight;
@@ -160,14 +167,14 @@
             .collect()
     }
 
-    /// Migrations that may still begin from or to a node.
+    /// Number of further migrations from or to a node that the limits allow.
     pub(super) fn node_capacity(&self, node: ServerId) -> usize {
         let in_flight = self.nodes.get(&node).map_or(0, |node| node.in_flight);
         self.policy.max_per_node.saturating_sub(in_flight)
     }
 }
 
-/// The order of sessions with one reason: see [`Candidate::rank_micros`].
+/// The value of [`Candidate::rank_micros`].
 fn rank_micros(
     reason: MigrationReason,
     now: Timestamp,
@@ -184,7 +191,7 @@
     }
 }
 
-/// A number from 0 to 1, evenly spread over the inputs.
+/// Hashes an input to a number from 0 to 1 with a uniform distribution.
 fn unit_hash(input: u64) -> f64 {
     let mut hash = input.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash ^= hash >> 32;
--- a/crates/migration/src/player.rs
+++ b/crates/migration/src/player.rs
@@ -1,12 +1,12 @@
-//! The player's side of migrations: it plays one epoch, switches to a later one at its first picture, and never back.
+//! The player's side of migrations: it plays one epoch and switches to a later one at its first picture, never back.
 
 use crate::Epoch;
 use shalewall::ServerId;
 
-/// What a player has to do.
+/// An operation that the player has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlayerAction {
-    /// Fetch this epoch from this node, beside what plays.
+    /// Fetch an epoch from a node, in parallel to the epoch that plays.
     Fetch {
         /// The node to fetch from.
         node: ServerId,
@@ -18,39 +18,39 @@
         /// The node.
         node: ServerId,
     },
-    /// Tell the director that this epoch plays. Repeated whenever the epoch is offered again.
+    /// Confirm to the director that an epoch plays. Repeated whenever the epoch is offered again.
     ConfirmSwitch {
         /// The epoch that plays.
         epoch: Epoch,
     },
-    /// Tell the director that this epoch will not be played.
+    /// Notify the director that an epoch will not be played.
     Decline {
         /// The declined epoch.
         epoch: Epoch,
     },
 }
 
-/// An epoch that is being fetched and of which no picture has come yet.
+/// An epoch that is being fetched and of which no picture has arrived yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PendingFetch {
-    /// The node it is fetched from.
+    /// The node from which it is fetched.
     pub node: ServerId,
     /// The epoch.
     pub epoch: Epoch,
 }
 
-/// Which node and epoch a player plays, and which it is trying to switch to.
+/// The node and epoch that a player plays, and those to which it is about to switch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlayerMigration {
     node: ServerId,
     epoch: Epoch,
     pending: Option<PendingFetch>,
-    /// No epoch up to this one is switched to any more.
+    /// The greatest declined epoch: the player does not switch to this one or any before it.
     declined_through: Epoch,
 }
 
 impl PlayerMigration {
-    /// A player that plays where its session was set up.
+    /// Creates the state of a player that plays from the node where its session was set up.
     pub fn new(node: ServerId) -> PlayerMigration {
         PlayerMigration {
             node,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The node that it plays from.
+    /// The node from which it plays.
     pub fn node(&self) -> ServerId {
         self.node
     }
@@ -70,19 +70,19 @@
         self.epoch
     }
 
-    /// What it fetches beside what it plays.
+    /// The epoch that is being fetched in parallel.
     pub fn pending(&self) -> Option<PendingFetch> {
         self.pending
     }
 
-    /// The director offers an epoch.
+    /// Handles an epoch that the director offers.
     pub fn on_offer(&mut self, node: ServerId, epoch: Epoch) -> Vec<PlayerAction> {
         if epoch == self.epoch {
             // The director has not received the confirmation yet.
             return vec![PlayerAction::ConfirmSwitch { epoch }];
         }
         if epoch > self.epoch && epoch <= self.declined_through {
-            // Nor this answer.
+            // The director has not received the decline yet.
             return vec![PlayerAction::Decline { epoch }];
         }
         let latest = self
@@ -94,12 +94,12 @@
         let superseded = self.pending.filter(|pending| pending.node != node);
         let close = superseded.map(|pending| PlayerAction::Close { node: pending.node });
         self.pending = Some(PendingFetch { node, epoch });
-        // The same epoch again is fetched again: the first fetch may have been lost.
+        // An epoch that is offered again is fetched again, since the first fetch may have been lost.
         let fetch = PlayerAction::Fetch { node, epoch };
         close.into_iter().chain([fetch]).collect()
     }
 
-    /// The first picture of an epoch has come, complete from a segment's boundary on.
+    /// Handles the first picture of an epoch, which starts at a segment boundary.
     pub fn on_picture(&mut self, node: ServerId, epoch: Epoch) -> Vec<PlayerAction> {
         if epoch <= self.epoch.max(self.declined_through) {
             return Vec::new();
@@ -112,7 +112,7 @@
         close.into_iter().chain([confirm]).collect()
     }
 
-    /// No picture came in time: the epoch is declined, so that the director can try another node.
+    /// Declines the pending epoch because no picture arrived in time, so that the director can try another node.
     pub fn give_up(&mut self) -> Vec<PlayerAction> {
         let Some(PendingFetch { node, epoch }) = self.pending.take() else {
             return Vec::new();
@@ -123,7 +123,7 @@
         close.into_iter().chain([decline]).collect()
     }
 
-    /// The node rejected the fetch, or its connection broke before a picture came.
+    /// The node rejected the fetch, or its connection broke before a picture arrived.
     pub fn on_fetch_failed(&mut self, node: ServerId, epoch: Epoch) {
         let failed = PendingFetch { node, epoch };
         self.pending = self.pending.filter(|pending| *pending != failed);
--- a/crates/migration/src/ticket.rs
+++ b/crates/migration/src/ticket.rs
@@ -1,4 +1,5 @@
-//! The ticket by which a booking travels: issued by a director, valid at one node, for one epoch, for a short time.
+//! The ticket that authorizes a node to take over a session: issued by a director, valid at one node, for one epoch and
+//! for a short time.
 
 use crate::Epoch;
 use serde::{Deserialize, Serialize};
@@ -6,15 +7,15 @@
 use std::str::FromStr;
 use subtle::ConstantTimeEq;
 
-/// Wall-clock time in milliseconds since 1970: directors and nodes have no other clock in common.
+/// Wall-clock time in milliseconds since 1970, the only clock that directors and nodes share.
 pub type UnixMillis = u64;
 
-/// Keeps these seals apart from any other use of the same key.
+/// Domain separation: distinguishes these seals from any other use of the same key.
 const SEAL_CONTEXT: &[u8] = b"shalewall hand-over 1";
 const SEAL_BYTES: usize = 16;
 const KEY_BYTES: usize = 32;
 
-/// Permission to prepare a session that was booked elsewhere.
+/// Authorizes a node to prepare a session that was set up elsewhere.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ticket {
     /// The session's number.
@@ -27,30 +28,30 @@
     /// The node that may prepare it, by number.
     #[serde(rename = "to")]
     pub target: u64,
-    /// When it was issued. A node's process that began later does not know what the process before it did with it.
+    /// When it was issued. A node process that started later rejects it, since the previous one may have used it.
     #[serde(rename = "issued")]
     pub issued_at: UnixMillis,
-    /// Not valid from then on.
+    /// The time from which it is invalid.
     #[serde(rename = "until")]
     pub expires_at: UnixMillis,
     seal: [u8; SEAL_BYTES],
 }
 
-/// When a ticket is valid.
+/// The validity period of a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
     /// When it is issued.
     pub issued_at: UnixMillis,
-    /// Not valid from then on.
+    /// The time from which it is invalid.
     pub expires_at: UnixMillis,
 }
 
-/// Why a text is no ticket key.
+/// The text is not a ticket key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("has to hold 64 hexadecimal digits")]
+#[error("must hold 64 hexadecimal digits")]
 pub struct InvalidTicketKey;
 
-/// The secret by which directors and nodes of one service know their tickets.
+/// The secret key with which the directors and nodes of a service issue and verify tickets.
 #[derive(Clone)]
 pub struct TicketKey([u8; KEY_BYTES]);
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// Reads 64 hexadecimal digits.
+/// Parses 64 hexadecimal digits.
 impl FromStr for TicketKey {
     type Err = InvalidTicketKey;
 
@@ -79,7 +80,7 @@
 }
 
 impl TicketKey {
-    /// A key of these bytes, which have to be secret and random.
+    /// Creates a key from bytes, which must be secret and random.
     pub fn new(bytes: [u8; KEY_BYTES]) -> TicketKey {
         TicketKey(bytes)
     }
@@ -106,7 +107,7 @@
         ticket
     }
 
-    /// Whether a ticket was issued with this key and has not been changed.
+    /// Whether a ticket was issued with this key and has not been modified.
     pub fn verify(&self, ticket: &Ticket) -> bool {
         self.seal(ticket).ct_eq(&ticket.seal).into()
     }
--- a/crates/migration/tests/model/checker.rs
+++ b/crates/migration/tests/model/checker.rs
@@ -1,20 +1,20 @@
-//! Which orders of events are explored, and what has to hold in each state.
+//! The event orders that are explored, and the properties that must hold in each state.
 
 use crate::state::{Action, Fault, State, node_ids};
 use shalewall_migration::Epoch;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-pub const SERVED_WHERE_IT_IS: &str = "the player is served where it is";
+pub const SERVED_WHERE_IT_IS: &str = "the node of the player serves its epoch";
 const MIGRATION_HAPPENS: &str = "a migration happens";
-/// Rounds of deliveries and timeouts within which every migration has to end.
+/// Number of rounds of deliveries and timeouts within which every migration has to end.
 const MAX_ROUNDS: usize = 12;
-/// In the first rounds nothing is given up.
+/// Number of rounds that start with retries only, before timeouts expire migrations.
 const RETRY_ROUNDS: usize = 2;
-/// No message leads to more messages in a row than this.
+/// Upper limit of the length of a chain of messages that one message causes.
 const MAX_DELIVERIES: usize = 40;
 
-/// How many events of each kind may happen.
+/// The maximum numbers of events of each kind.
 pub struct Bounds {
     pub nodes: usize,
     pub migrations: u8,
@@ -36,15 +36,15 @@
     fault: Fault::None,
 };
 
-/// What a search has found.
+/// The result of a search.
 pub struct SearchResult {
     pub unique_states: usize,
     pub depth: usize,
-    /// Names of the properties that do not hold.
+    /// Names of the violated properties.
     pub violations: Vec<&'static str>,
 }
 
-/// Explores all orders of events within the bounds.
+/// Explores all event orders within the bounds.
 pub fn search(bounds: Bounds) -> SearchResult {
     let checker = bounds.checker().threads(4).spawn_bfs().join();
     let discoveries = checker.discoveries();
@@ -65,8 +65,7 @@
 }
 
 impl Bounds {
-    /// Whether the migration ends when everything that is on its way arrives, crashes are noticed, and what takes too
-    /// long is given up.
+    /// Whether the migration ends if all messages arrive, crashes are detected and deadlines expire.
     fn ends(&self, state: &State) -> bool {
         let mut state = state.clone();
         for round in 0..MAX_ROUNDS {
@@ -75,7 +74,7 @@
                     state.apply(self.fault, Action::NoticeCrash(node));
                 }
             }
-            // All that is on its way arrives once, then what is said to it, until nothing is said any more.
+            // Delivers all messages once, then those that they cause, until none is left.
             for _ in 0..MAX_DELIVERIES {
                 for message in std::mem::take(&mut state.network) {
                     state.deliver(self.fault, message);
@@ -102,7 +101,7 @@
                     actions.push(Action::CrashNode(node));
                 }
             } else if !unnoticed {
-                // It restarts only once its crash is known: a director sees a new process as such.
+                // A node restarts only after its crash was detected, since a director recognizes a new process.
                 actions.push(Action::RestartNode(node));
             }
             if unnoticed {
@@ -160,13 +159,13 @@
                     serving.iter().collect::<BTreeSet<_>>().len() == serving.len()
                 },
             ),
-            // Unless that node has crashed.
+            // Holds unless that node has crashed.
             Property::always(SERVED_WHERE_IT_IS, |_: &Bounds, state: &State| {
                 let node = state.player.node();
                 let served = state.serving(node) >= Some(state.player.epoch());
                 state.has_crashed(node) || state.viewer_left || served
             }),
-            // A session is not given up while the node that its player is at serves it.
+            // A session is not ended while the node of its player serves it.
             Property::always("no playing session is lost", |_: &Bounds, state: &State| {
                 let served = state.serving(state.player.node()) == Some(state.player.epoch());
                 !state.coordinator.is_ended() || state.viewer_left || !served
--- a/crates/migration/tests/model/main.rs
+++ b/crates/migration/tests/model/main.rs
@@ -1,8 +1,9 @@
-//! The migration protocol checked over all orders of events. The network is as bad as it can be: whatever was ever
-//! sent may arrive at any time, any number of times, or never. Nodes crash and come back empty, the director restarts.
+//! Model checking of the migration protocol over all event orders. The network may delay, reorder, duplicate and lose
+//! any message. Nodes crash and restart without state, and the director restarts.
 //!
-//! [`state`] holds what is driven, [`messages`] what is on its way, [`checker`] what is explored and what has to hold.
-//! Each test states how many states its search has: a change of the protocol that loses some is seen.
+//! [`state`] contains the modelled system, [`messages`] the messages in flight, and [`checker`] the explored event
+//! orders and the properties. Each test asserts the number of states of its search, so that a change of the protocol
+//! which makes states unreachable is detected.
 
 mod checker;
 mod messages;
@@ -11,7 +12,7 @@
 use checker::{Bounds, ONE_MIGRATION, SERVED_WHERE_IT_IS, search};
 use state::Fault;
 
-/// Searches a protocol without faults: all properties hold in each of so many states.
+/// Searches the correct protocol: all properties must hold, in exactly `expected_states` states.
 fn check(name: &str, bounds: Bounds, expected_states: usize) {
     let result = search(bounds);
     let states = result.unique_states;
--- a/crates/migration/tests/model/messages.rs
+++ b/crates/migration/tests/model/messages.rs
@@ -1,4 +1,4 @@
-//! What is on its way between director, nodes and player.
+//! The messages between director, nodes and player.
 
 use shalewall::ServerId;
 use shalewall_migration::Epoch;
@@ -6,7 +6,7 @@
 use shalewall_migration::node::CancelOutcome;
 use shalewall_migration::player::PlayerAction;
 
-/// A message that was sent. It may arrive at any time, any number of times, or never.
+/// A message in flight. It may arrive at any time, any number of times, or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
     Prepare {
@@ -69,7 +69,7 @@
 }
 
 impl Message {
-    /// The message that the director sends for an output; none for what it notes itself.
+    /// The message that the director sends for an output; `None` for outputs that send nothing.
     pub fn of_output(output: Output, clock: u64) -> Option<Message> {
         match output {
             Output::Prepare {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The message that the player sends for an action; none for closing a connection.
+    /// The message that the player sends for an action; `None` for closing a connection.
     pub fn of_player(action: PlayerAction) -> Option<Message> {
         match action {
             PlayerAction::Fetch { node, epoch } => Some(Message::Fetch { node, epoch }),
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether the director is its recipient.
+    /// Whether it is addressed to the director.
     pub fn is_for_director(&self) -> bool {
         let from_player = matches!(
             self,
@@ -118,7 +118,7 @@
         from_player || self.node_that_answers().is_some()
     }
 
-    /// The node that sent it to the director.
+    /// The node that sent it to the director, if any.
     pub fn node_that_answers(&self) -> Option<ServerId> {
         match self {
             Message::Prepared { node, .. }
--- a/crates/migration/tests/model/state.rs
+++ b/crates/migration/tests/model/state.rs
@@ -1,5 +1,5 @@
-//! The state of director, nodes, player and network, and how an action changes it. What is driven are the state
-//! machines of the program themselves.
+//! The state of director, nodes, player and network, and its transitions. The model uses the state machines of the
+//! library itself.
 
 use crate::messages::Message;
 use shalewall::{ServerId, SessionId, Timestamp};
@@ -11,21 +11,21 @@
 use std::collections::BTreeSet;
 
 pub const SESSION: SessionId = SessionId(1);
-/// In the model nothing is late but by being given up.
+/// The model uses two times only: one before all deadlines, and one after them.
 const EARLY: Timestamp = Timestamp::ZERO;
 const LATE: Timestamp = Timestamp::from_micros(10_000_000);
-/// Tickets are valid longer than the model's clock runs.
+/// Later than the model's clock ever gets, so that tickets do not expire.
 const TICKET_EXPIRES_AT: u64 = 100;
-/// An epoch that no migration of the model passes.
+/// Greater than the epoch of any migration in the model.
 const LATEST_EPOCH: Epoch = Epoch(5);
 
-/// What a faulty protocol does.
+/// A fault that is injected into the protocol.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
     /// The source is released as soon as the target serves.
     ReleasesEarly,
-    /// Each answer to a cancellation is taken for a cancelled migration.
+    /// Each answer to a cancellation is treated as a cancelled migration.
     IgnoresCancelOutcome,
 }
 
@@ -47,9 +47,9 @@
 pub struct State {
     pub coordinator: MigrationCoordinator,
     pub nodes: Vec<Option<NodeSessions>>,
-    /// Which nodes have ever crashed.
+    /// Whether each node has ever crashed.
     pub crashed: Vec<bool>,
-    /// Which nodes' crash the director has not noticed.
+    /// Whether each node has crashed without the director having detected it.
     pub unnoticed_crash: Vec<bool>,
     pub player: PlayerMigration,
     pub network: BTreeSet<Message>,
@@ -58,7 +58,7 @@
     pub restarts: u8,
     pub declines: u8,
     pub viewer_left: bool,
-    /// Counts starts of nodes: wall-clock time, as far as the protocol looks at it.
+    /// Wall-clock time: the number of node restarts, as the protocol only compares it with the start of a node.
     clock: u64,
 }
 
@@ -75,10 +75,10 @@
 }
 
 impl State {
-    /// A session that plays at the first of so many nodes.
+    /// Creates the state of a session that plays at the first of `node_count` nodes.
     pub fn new(node_count: usize) -> State {
         let mut nodes = vec![Some(NodeSessions::new(0)); node_count];
-        // The one booking.
+        // The only set-up of the session.
         nodes[0].iter_mut().for_each(|node| node.set_up(SESSION));
         State {
             coordinator: MigrationCoordinator::new(ServerId(0)),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The epoch that a node serves, if it runs.
+    /// The epoch that a node serves, if any.
     pub fn serving(&self, node: ServerId) -> Option<Epoch> {
         let node = self.nodes[index(node)].as_ref();
         node.and_then(|node| node.epochs(SESSION).serving)
@@ -204,7 +204,7 @@
                     CancelOutcome::Cancelled
                 },
             },
-            other => unreachable!("not for the director: {other:?}"),
+            other => unreachable!("not addressed to the director: {other:?}"),
         };
         self.input(input);
     }
@@ -258,8 +258,8 @@
         self.network.insert(Message::Released { node, epoch });
     }
 
-    /// A director that calls a node that has crashed notices it. What the node said before came on connections that
-    /// have ended by then.
+    /// The director detects a crash when it calls the node. Earlier messages of the node are dropped, since its
+    /// connections have closed.
     fn notice_crash(&mut self, crashed: ServerId) {
         self.unnoticed_crash[index(crashed)] = false;
         self.network
@@ -269,7 +269,7 @@
 
     fn restart_director(&mut self) {
         self.restarts += 1;
-        // What was on its way to the process before it is on its way to nobody.
+        // Messages to the previous process are lost.
         self.network.retain(|message| !message.is_for_director());
         let reports: Vec<NodeReport> = node_ids(self.nodes.len())
             .filter_map(|node| {
@@ -278,7 +278,7 @@
                 Some(NodeReport { node, epochs })
             })
             .collect();
-        // It sees which nodes run.
+        // The new process detects which nodes are running.
         self.unnoticed_crash.fill(false);
         if let Some(found) = MigrationCoordinator::recover(&reports, LATEST_EPOCH, EARLY) {
             self.coordinator = found;
--- a/crates/migration/tests/node.rs
+++ b/crates/migration/tests/node.rs
@@ -1,4 +1,4 @@
-//! Tickets at a node: the same again, late, for another node, of an earlier process, after the end.
+//! Tickets at a node: repeated, expired, for another node, older than the process, and after the session's end.
 
 use shalewall::{ServerId, SessionId};
 use shalewall_migration::Epoch;
@@ -34,11 +34,11 @@
 }
 
 #[test]
-fn the_same_ticket_again_has_the_same_answer_before_and_after_it_is_fetched() {
+fn repeated_ticket_has_the_same_answer_before_and_after_the_fetch() {
     let mut node = prepared_node();
     assert_eq!(prepare(&mut node, 1200, 1), Ok(()));
     assert_eq!(node.fetch(SESSION, Epoch(1)), Ok(()));
-    // Also when it has expired: what it was for has been done.
+    // An expired ticket is accepted too, since its epoch has already been fetched.
     assert_eq!(prepare(&mut node, 5000, 1), Ok(()));
     assert_eq!(
         node.epochs(SESSION),
@@ -50,15 +50,15 @@
 }
 
 #[test]
-fn a_ticket_that_is_late_or_for_another_node_or_forged_or_older_than_the_process_is_invalid() {
+fn expired_foreign_forged_and_outdated_tickets_are_invalid() {
     let is_invalid = |node: &mut NodeSessions, own_id, now, ticket: &Ticket| {
         node.prepare(own_id, &key(), now, ticket) == Err(PrepareError::InvalidTicket)
     };
     let mut node = NodeSessions::new(900);
-    assert!(is_invalid(&mut node, OWN_ID, 2000, &ticket(1)), "late");
+    assert!(is_invalid(&mut node, OWN_ID, 2000, &ticket(1)), "expired");
     assert!(
         is_invalid(&mut node, ServerId(5), 1100, &ticket(1)),
-        "another node's"
+        "for another node"
     );
     let mut forged: Ticket = ticket(1);
     forged.epoch = Epoch(7);
@@ -70,7 +70,7 @@
     assert_eq!(
         node.epochs(SESSION),
         SessionEpochs::default(),
-        "nothing came of any of them"
+        "invalid tickets do not change the state"
     );
 }
 
@@ -81,10 +81,10 @@
     node.release(SESSION, Epoch(1));
     assert_eq!(prepare(&mut node, 1100, 1), Err(PrepareError::EpochEnded));
     assert_eq!(node.fetch(SESSION, Epoch(1)), Err(FetchError::EpochEnded));
-    // It may come back under a later one.
+    // The session may return under a later epoch.
     assert_eq!(prepare(&mut node, 1100, 2), Ok(()));
     assert_eq!(prepare(&mut node, 1100, 1), Err(PrepareError::EpochEnded));
-    // The whole session is over: no epoch can be prepared any more.
+    // After the end of the session, no epoch can be prepared any more.
     node.release(SESSION, Epoch(u32::MAX));
     assert_eq!(prepare(&mut node, 1100, 3), Err(PrepareError::EpochEnded));
 }
@@ -97,7 +97,7 @@
     assert_eq!(
         prepare(&mut node, 1100, 1),
         Err(PrepareError::EpochEnded),
-        "nor by a ticket that comes late"
+        "a delayed ticket does not prepare a cancelled epoch"
     );
     let mut node = prepared_node();
     assert_eq!(node.fetch(SESSION, Epoch(1)), Ok(()));
@@ -108,9 +108,9 @@
     assert_eq!(
         node.cancel(SESSION, Epoch(1)),
         CancelOutcome::AlreadyServing,
-        "and again"
+        "cancellation is idempotent"
     );
-    // An epoch that was never here can be cancelled before it comes.
+    // An epoch can be cancelled before the request to prepare it arrives.
     let mut node = NodeSessions::new(900);
     assert_eq!(node.cancel(SESSION, Epoch(1)), CancelOutcome::Cancelled);
     assert_eq!(prepare(&mut node, 1100, 1), Err(PrepareError::EpochEnded));
--- a/crates/migration/tests/planner.rs
+++ b/crates/migration/tests/planner.rs
@@ -1,4 +1,4 @@
-//! When sessions are migrated: each reason, what each is worth, the limits, and what is no reason.
+//! When sessions are migrated: each reason, the cost of a migration, the limits, and what does not cause migrations.
 
 use shalewall::{ServerId, SessionId, TimeDelta, Timestamp};
 use shalewall_migration::planner::{
@@ -31,14 +31,14 @@
     }
 }
 
-/// A planner, and the time up to which its timers have run.
+/// A planner with a simulated clock.
 struct Harness {
     planner: MigrationPlanner,
     now: Timestamp,
 }
 
 impl Harness {
-    /// So many sessions at each of two nodes: 0.. at node 1, 100.. at node 2.
+    /// Adds `sessions` sessions at each of two nodes: ids from 0 at node 1, and from 100 at node 2.
     fn new(sessions: u64) -> Harness {
         let mut harness = Harness {
             planner: MigrationPlanner::new(policy(), 1),
@@ -51,8 +51,8 @@
         harness
     }
 
-    fn add_session(&mut self, session: u64, node: u64, lasts: Option<TimeDelta>) {
-        let ends_at = lasts.map(|lasts| self.now + lasts);
+    fn add_session(&mut self, session: u64, node: u64, duration: Option<TimeDelta>) {
+        let ends_at = duration.map(|duration| self.now + duration);
         self.planner
             .add_session(self.now, SessionId(session), ServerId(node), ends_at);
     }
@@ -81,7 +81,7 @@
             .migration_finished(self.now, SessionId(session), migrated);
     }
 
-    /// Lets time pass, and runs the timers that are due.
+    /// Advances time, and fires the timers that are due.
     fn wait(&mut self, span: TimeDelta) {
         let until = self.now + span;
         while let Some(due) = self.planner.poll_timeout().filter(|due| *due <= until) {
@@ -95,7 +95,7 @@
         self.planner.due_migrations(self.now)
     }
 
-    /// Migrates all that are due to node 3; how many.
+    /// Migrates all due sessions to node 3. Returns their number.
     fn migrate_all(&mut self) -> usize {
         let due = self.due_migrations();
         for migration in &due {
@@ -116,20 +116,20 @@
     while let migrated @ 1.. = harness.migrate_all() {
         rounds.push(migrated);
     }
-    assert_eq!(rounds, [4, 4, 2], "four from one node at once");
-    // With migrations under way there is capacity for fewer.
+    assert_eq!(rounds, [4, 4, 2], "at most four at once from one node");
+    // Migrations in progress count towards the limits.
     let mut harness = Harness::new(10);
     harness.drain(1);
     harness.drain(2);
     let first = harness.due_migrations();
-    assert_eq!(first.len(), 6, "six of this director");
+    assert_eq!(first.len(), 6, "at most six at once of this director");
     for migration in &first {
         harness.start(migration.session.0, 9);
     }
     assert_eq!(harness.due_migrations(), []);
     assert!(
         !harness.planner.can_accept(ServerId(9)),
-        "six are on their way there"
+        "the limit of the target is reached"
     );
     harness.finish(first[0].session.0, true);
     assert_eq!(harness.due_migrations().len(), 1);
@@ -148,10 +148,14 @@
 }
 
 #[test]
-fn one_silent_player_alone_is_no_reason_and_most_of_them_are() {
+fn silence_of_most_players_but_not_of_one_causes_migrations() {
     let mut harness = Harness::new(4);
     harness.report_silence(0, millis(300));
-    assert_eq!(harness.due_migrations(), [], "its own network, most likely");
+    assert_eq!(
+        harness.due_migrations(),
+        [],
+        "a single silent player does not indicate a fault of the node"
+    );
     harness.report_silence(1, millis(200));
     assert_eq!(
         harness.due_migrations(),
@@ -159,20 +163,24 @@
             due(1, MigrationReason::NodeSilent),
             due(0, MigrationReason::NodeSilent)
         ],
-        "whose buffer is empty first"
+        "ordered by the time at which the buffer is empty"
     );
     assert_eq!(harness.planner.silent_nodes(), [ServerId(1)]);
-    // The reports are old when nobody repeats them.
+    // Reports that are not repeated expire.
     harness.wait(secs(1));
     assert_eq!(harness.due_migrations(), []);
     assert_eq!(harness.planner.silent_nodes(), []);
 }
 
 #[test]
-fn a_player_whose_buffer_lasts_longer_than_a_migration_takes_waits() {
+fn a_player_is_not_migrated_while_its_buffer_outlasts_a_migration() {
     let mut harness = Harness::new(1);
     harness.report_silence(0, millis(900));
-    assert_eq!(harness.due_migrations(), [], "it may pass yet");
+    assert_eq!(
+        harness.due_migrations(),
+        [],
+        "the buffer outlasts a migration"
+    );
     harness.wait(millis(300));
     assert_eq!(
         harness.due_migrations(),
@@ -181,10 +189,10 @@
 }
 
 #[test]
-fn silence_reported_after_a_stall_of_this_process_is_no_reason() {
+fn silence_reports_after_a_stall_of_this_process_are_ignored() {
     let mut harness = Harness::new(3);
     harness.wait(secs(1));
-    // It stood still for two seconds; reports that waited meanwhile are read now.
+    // The process was stalled for two seconds, and now reads the reports that arrived in the meantime.
     harness.now += secs(2);
     for id in 0..3 {
         harness.report_silence(id, millis(100));
@@ -194,12 +202,16 @@
     for id in 0..3 {
         harness.report_silence(id, millis(100));
     }
-    assert_eq!(harness.due_migrations().len(), 3, "repeated, it counts");
+    assert_eq!(
+        harness.due_migrations().len(),
+        3,
+        "reports that are repeated after the stall count"
+    );
 }
 
 #[test]
-fn a_node_that_stalls_again_and_again_costs_a_session_one_migration_per_cooldown() {
-    // All players of both nodes report each second for a minute: no session migrates twice within the cooldown.
+fn repeated_stalls_of_a_node_cause_one_migration_per_cooldown() {
+    // All players of both nodes report silence each second for a minute: no session migrates twice within the cooldown.
     let mut harness = Harness::new(2);
     let cooldown = policy().cooldown;
     let mut last_migration = [Timestamp::ZERO - secs(100); 2];
@@ -242,7 +254,7 @@
         harness.wait(secs(1));
     }
     assert!(migrated >= 2, "{migrated}");
-    // A tenth of what is left of a session, 8 s, is less than what a migration costs.
+    // When the shortage has lasted long enough, a tenth of the remaining 9 s is less than the cost of a migration.
     let mut harness = Harness::new(0);
     harness.add_session(1, 1, Some(secs(15)));
     for _ in 0..14 {
@@ -253,7 +265,7 @@
 }
 
 #[test]
-fn an_orphan_goes_first_and_at_once_also_right_after_a_migration() {
+fn an_orphan_is_migrated_first_and_without_cooldown() {
     let mut harness = Harness::new(2);
     harness.drain(1);
     harness.start(0, 3);
@@ -263,7 +275,7 @@
     let draining = due(1, MigrationReason::NodeDraining);
     assert_eq!(harness.due_migrations(), [orphan, draining]);
     assert_eq!(harness.due_migrations(), [orphan, draining]);
-    // Without capacity it is looked for again soon, not at once.
+    // Without capacity, the migration is retried after a delay.
     harness
         .planner
         .defer_migration(Timestamp::ZERO, SessionId(0));
@@ -273,12 +285,12 @@
 }
 
 #[test]
-fn a_drain_is_no_suspicion_and_holds_also_right_after_a_migration() {
+fn a_draining_node_causes_migrations_during_the_cooldown() {
     let mut harness = Harness::new(1);
     harness.start(0, 3);
     harness.finish(0, true);
     harness.report_silence(0, millis(100));
-    assert_eq!(harness.due_migrations(), [], "migrated just now");
+    assert_eq!(harness.due_migrations(), [], "the cooldown is not over");
     harness.drain(3);
     assert_eq!(
         harness.due_migrations(),
@@ -287,7 +299,7 @@
 }
 
 #[test]
-fn an_aborted_migration_is_retried_and_an_end_in_its_middle_frees_its_capacity() {
+fn an_aborted_migration_is_retried_and_a_removed_session_frees_its_slot() {
     let mut harness = Harness::new(1);
     harness.drain(1);
     harness.start(0, 3);
@@ -304,5 +316,9 @@
         harness.planner.remove_session(SessionId(id));
     }
     harness.add_session(60, 1, None);
-    assert_eq!(harness.due_migrations().len(), 1, "nothing is under way");
+    assert_eq!(
+        harness.due_migrations().len(),
+        1,
+        "the removed sessions no longer count towards the limits"
+    );
 }
--- a/crates/migration/tests/ticket.rs
+++ b/crates/migration/tests/ticket.rs
@@ -1,4 +1,4 @@
-//! Ticket keys and seals: what is read as a key, and that a changed ticket is not accepted.
+//! Ticket keys and seals: the format of a key, and the rejection of modified tickets.
 
 use shalewall::{ServerId, SessionId};
 use shalewall_migration::Epoch;
