--- a/crates/tenancy/src/access.rs
+++ b/crates/tenancy/src/access.rs
@@ -1,64 +1,64 @@
-//! Roles, and what each may see and do.
+//! Roles and their permissions.
 
 use crate::tenant::{InvalidTenantId, TenantId};
 use serde::{Deserialize, Serialize};
 
-/// What a caller is.
+/// The role of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Runs the service: all tenants.
+    /// Runs the service: has all permissions for all tenants.
     Operator,
-    /// A director: follows the tenants and reports what it holds, and nothing else.
+    /// A director: may follow changes of tenants and report usage, and nothing else.
     #[serde(rename = "front")]
     Director,
-    /// Administers one tenant: its names, classes, titles and state, not what is agreed with the operators.
+    /// Administers one tenant: its display name, classes, titles and state, but not the fields agreed with operators.
     Admin(TenantId),
-    /// Reads one tenant.
+    /// May read one tenant.
     Reader(TenantId),
 }
 
-/// Why a name and a tenant make no role.
+/// Why a name and a tenant are not a valid role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RoleError {
-    /// The tenant's id is not one.
+    /// The tenant's id is invalid.
     #[error("tenant {0}")]
     Tenant(#[from] InvalidTenantId),
-    /// There is no such role, it lacks a tenant, or has one too many.
+    /// There is no such role, or it lacks a tenant, or it must not have one.
     #[error("operator or front alone, or admin or reader of a tenant")]
     Unknown,
 }
 
-/// What an operation needs its caller to be allowed.
+/// A permission that an operation requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// To list all tenants, or create one.
+    /// List all tenants, or create one.
     ManageTenants,
-    /// To read a tenant.
+    /// Read a tenant.
     ReadTenant,
-    /// To change what is the tenant's own.
+    /// Change the fields that belong to the tenant itself.
     EditTenant,
-    /// To change what is agreed with the operators (share, fleet, limits), or to delete the tenant.
+    /// Change the fields that are agreed with the operators (share, fleet, limits), or delete the tenant.
     EditAgreement,
-    /// To create and revoke tokens.
+    /// Create and revoke tokens.
     ManageTokens,
-    /// To follow all changes, and report usage.
+    /// Follow all changes, and report usage.
     FollowChanges,
 }
 
-/// Whether a caller is allowed something.
+/// The result of an access check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// It is.
+    /// Access is granted.
     Granted,
-    /// The tenant is the caller's own, but this is not the caller's to do.
+    /// The caller may see the tenant, but lacks the permission.
     Forbidden,
-    /// To the caller the tenant does not exist, whether it does or not.
+    /// The tenant must appear not to exist to the caller, whether it exists or not.
     Hidden,
 }
 
 impl Role {
-    /// A role by its name, and its tenant where it is a role of one.
+    /// Creates a role from its name, and its tenant if the role requires one.
     pub fn from_name(name: &str, tenant: Option<String>) -> Result<Role, RoleError> {
         let tenant = tenant.map(TenantId::try_from).transpose()?;
         match (name, tenant) {
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Whether this role has a permission for a tenant, or, without one, for the service as a whole.
+    /// Checks a permission of this role for a tenant or, if `tenant` is `None`, for the service as a whole.
     pub fn access(&self, permission: Permission, tenant: Option<&TenantId>) -> Access {
         match self {
             Role::Operator => Access::Granted,
             Role::Director if permission == Permission::FollowChanges => Access::Granted,
-            // A director is not told which tenants exist by what it may not do to them.
+            // Hidden rather than forbidden, so that the answer does not reveal which tenants exist.
             Role::Director if tenant.is_some() => Access::Hidden,
             Role::Director => Access::Forbidden,
             Role::Admin(own) => own_tenant_access(own, true, permission, tenant),
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a role of one tenant may do.
+/// Access of a role that is bound to one tenant.
 fn own_tenant_access(
     own: &TenantId,
     may_edit: bool,
--- a/crates/tenancy/src/admission.rs
+++ b/crates/tenancy/src/admission.rs
@@ -1,17 +1,17 @@
-//! Which sessions are admitted when a director is short of capacity, so that no tenant starves another.
+//! Admission of sessions when a director is short of capacity, so that no tenant starves another.
 //!
-//! A director can be short of two things: set-ups a second and sessions held. Of both each tenant has a quota, by its
-//! share over the sum of all shares. What others leave unused goes to whoever wants it, but for a small reserve. A
-//! tenant within its quota may use the reserve too, so one that comes back finds capacity at once, and from then on
-//! every session that ends frees capacity for it first.
+//! A director has two limited resources: set-ups per second and held sessions. Each tenant has a quota of both, in
+//! proportion to its share of the sum of all shares. Unused capacity of other tenants is available to all, except for a
+//! small reserve that only tenants within their quota may use. So a tenant that becomes active again finds capacity at
+//! once, and from then on each session that ends frees capacity for it first.
 //!
-//! A tenant that is rejected within its quota reserves capacity for each such request: what becomes free is kept for
-//! it, beside the reserve, until it has been admitted as often or has not come for a while. So it has its quota when as
-//! many sessions of others have ended: seconds where they come and go steadily, and at the worst the length of one,
-//! since nobody's session is ended for another's.
+//! For each request of a tenant that is rejected within its quota, one session is reserved for the tenant, in addition
+//! to the reserve. Reservations are used by later admissions, or expire when the tenant sends no requests for a while.
+//! Thus a tenant reaches its quota when enough sessions of others have ended: within seconds if sessions start and end
+//! steadily, and at the worst after the length of one session, since no session is ended in favour of another tenant.
 //!
-//! Cost of a request: look-ups, whatever the number of tenants, and a walk over those with reservations. Times are of
-//! any clock that does not go back.
+//! The cost of a request is a few look-ups, independent of the number of tenants, plus an iteration over the tenants
+//! with reservations. Times are those of any monotonic clock.
 
 mod bucket;
 mod budget;
@@ -27,17 +27,17 @@
 use shalewall::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// A reservation lasts so long after the tenant's last request.
+/// How long reservations last after the tenant's last request.
 const RESERVATION_LIFETIME: TimeDelta = TimeDelta::from_secs(30);
 
-/// Sessions that are to be admitted for a tenant before those of others.
+/// Capacity that is reserved for a tenant ahead of others.
 #[derive(Clone, Copy, Debug, Default)]
 struct Reservation {
     last_request: Timestamp,
     sessions: usize,
 }
 
-/// The tenants' quotas of one director.
+/// Admission control of one director, with the quotas of its tenants.
 #[derive(Debug)]
 pub struct TenantAdmission {
     director: DirectorBudget,
@@ -48,7 +48,7 @@
 }
 
 impl TenantAdmission {
-    /// A director without tenants.
+    /// Creates the admission control of a director without tenants.
     pub fn new(capacity: Capacity, now: Timestamp) -> TenantAdmission {
         TenantAdmission {
             director: DirectorBudget {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Sets a tenant's terms. What it holds it keeps, also above a quota that has become smaller: it gets nothing new
-    /// until it is within it.
+    /// Sets a tenant's share and limits. Its sessions are kept even if they exceed a reduced quota; then new ones are
+    /// admitted as for any tenant above its quota.
     pub fn set_tenant(&mut self, now: Timestamp, tenant: &TenantId, share: f64, limits: &Limits) {
         let is_new = !self.tenants.contains_key(tenant);
         let budget = self.tenants.entry(tenant.clone()).or_default();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A tenant accepts no more sessions. What it still holds counts until it has ended.
+    /// Stops admitting sessions of a tenant. Its sessions count until they have ended.
     pub fn remove_tenant(&mut self, tenant: &TenantId) {
         if let Some(budget) = self.tenants.get_mut(tenant) {
             self.total_share -= budget.effective_share();
@@ -89,14 +89,14 @@
         self.drop_if_empty(tenant);
     }
 
-    /// Sessions that a tenant holds.
+    /// Number of sessions that a tenant holds.
     pub fn held_sessions(&self, tenant: &TenantId) -> usize {
         self.tenants
             .get(tenant)
             .map_or(0, |budget| budget.held_sessions)
     }
 
-    /// Sessions by tenant, of those that hold some.
+    /// The tenants that hold sessions, with their numbers of sessions.
     pub fn sessions_by_tenant(&self) -> impl Iterator<Item = (&TenantId, usize)> {
         self.tenants
             .iter()
@@ -104,7 +104,7 @@
             .map(|(tenant, budget)| (tenant, budget.held_sessions))
     }
 
-    /// A tenant's quota of all sessions held.
+    /// A tenant's quota of the sessions that the director can hold.
     pub fn session_quota(&self, tenant: &TenantId) -> f64 {
         let share = self
             .tenants
@@ -113,13 +113,13 @@
         self.director.capacity.sessions * share / self.total_share.max(f64::MIN_POSITIVE)
     }
 
-    /// Tenants that accept sessions or still hold some.
+    /// Number of tenants that accept sessions or still hold some.
     pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Decides on a request for a session. One that is admitted counts as a set-up, and as a session held until
-    /// [`TenantAdmission::release`].
+    /// Decides on a request for a session. If it is admitted, it counts as one set-up, and as a held session until
+    /// [`TenantAdmission::release`] is called.
     pub fn admit(&mut self, now: Timestamp, tenant: &TenantId) -> Result<(), Rejection> {
         let quota = SessionQuota {
             sessions: self.session_quota(tenant),
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// An admitted session is over, or its set-up has failed.
+    /// Releases an admitted session that is over or whose set-up has failed.
     pub fn release(&mut self, now: Timestamp, tenant: &TenantId) {
         let holding = self.tenants.get_mut(tenant);
         let Some(budget) = holding.filter(|budget| budget.held_sessions > 0) else {
@@ -169,7 +169,7 @@
         self.drop_if_empty(tenant);
     }
 
-    /// Sessions that are reserved for other tenants than this one.
+    /// Number of sessions that are reserved for other tenants.
     fn reserved_for_others(&mut self, now: Timestamp, tenant: &TenantId) -> f64 {
         if self.reservations.is_empty() {
             return 0.0;
--- a/crates/tenancy/src/admission/bucket.rs
+++ b/crates/tenancy/src/admission/bucket.rs
@@ -1,23 +1,23 @@
-//! Token buckets for set-ups, and the rate at which sessions end.
+//! Token buckets for set-ups, and an estimate of the rate at which sessions end.
 
 use shalewall::{TimeDelta, Timestamp};
 
-/// What was unused is saved up for so long: a burst of that many seconds' worth is admitted at once.
+/// Capacity of a token bucket, in seconds of its fill rate: the size of the burst that is admitted at once.
 const BURST_S: f64 = 2.0;
-/// Ends of sessions are counted over about so long.
+/// Approximate window over which session ends are counted, seconds.
 const END_WINDOW_S: f64 = 30.0;
 
-/// The most tokens of a bucket that is filled at a rate.
+/// Capacity of a bucket that is filled at a rate; at least one token.
 pub(super) fn burst_size(rate_per_s: f64) -> f64 {
     (rate_per_s * BURST_S).max(1.0)
 }
 
-/// Seconds from one time to another; none if they are out of order.
+/// Seconds from one time to another; 0 if they are out of order.
 fn elapsed_s(from: Timestamp, to: Timestamp) -> f64 {
     (to - from).max(TimeDelta::ZERO).as_secs_f64()
 }
 
-/// A bucket of set-ups. Its level may be below zero: a debt.
+/// A token bucket for set-ups. Its level may be negative, which is a debt.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TokenBucket {
     pub level: f64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A bucket that holds what a rate fills in the time for which it is saved up.
+    /// Creates a full bucket for a fill rate.
     pub fn full(now: Timestamp, rate_per_s: f64) -> TokenBucket {
         TokenBucket::new(now, rate_per_s * BURST_S)
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Counts ends of sessions, older ones less.
+/// Counts session ends, with older ones decaying.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndRate {
     count: f64,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A request has come: the count does not fade for the time before it.
+    /// Records the time of a request: the count does not decay for the time before it.
     pub fn touch(&mut self, now: Timestamp) {
         self.updated_at = self.updated_at.max(now);
     }
--- a/crates/tenancy/src/admission/budget.rs
+++ b/crates/tenancy/src/admission/budget.rs
@@ -1,65 +1,65 @@
-//! What a director can do, what one tenant has used of it, and the decisions between the two.
+//! The capacity of a director, the usage of one tenant, and the checks of one against the other.
 
 use super::bucket::{EndRate, TokenBucket, burst_size};
 use super::{Rejection, RejectionCause};
 use crate::terms::Limits;
 use shalewall::Timestamp;
 
-/// Part of the director that only tenants within their quota may use.
+/// Fraction of the director's capacity that only tenants within their quota may use.
 const RESERVE: f64 = 0.05;
-/// A tenant beyond its quota may owe so many seconds of it.
+/// Maximum set-up debt of a tenant beyond its quota, in seconds of its quota.
 const MAX_DEBT_S: f64 = 8.0;
-/// How much more has to be free for a tenant with the greatest debt, as a part of the director's burst.
+/// Additional headroom that has to be free for a tenant with the maximum debt, as a fraction of the director's burst.
 const DEBT_HEADROOM: f64 = 0.5;
-/// Advice to a tenant that holds as many sessions as its own limit allows: a quarter of the longest, seconds.
+/// Retry-After for a tenant at its own session limit, seconds: a quarter of the longest Retry-After.
 const SESSION_LIMIT_RETRY_S: f64 = 15.0;
-/// Advice where no session has ended lately, seconds.
+/// Retry-After if no session has ended recently, seconds.
 const UNKNOWN_RETRY_S: f64 = 1.0;
-/// Keeps a rate of zero from being divided by.
+/// Prevents a division by a rate of zero.
 const MIN_RATE: f64 = 1e-6;
 
-/// What a director can do.
+/// The capacity of a director.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Set-ups a second.
+    /// Set-ups per second.
     pub set_ups_per_s: f64,
-    /// Sessions held at once.
+    /// Number of concurrent sessions.
     pub sessions: f64,
 }
 
-/// What a director has left.
+/// The capacity and usage of a director.
 #[derive(Debug)]
 pub(super) struct DirectorBudget {
     pub capacity: Capacity,
-    /// Set-ups that it can still make.
+    /// Set-ups that are still available.
     pub free_set_ups: TokenBucket,
     pub held_sessions: usize,
     pub ends: EndRate,
 }
 
-/// What one tenant may use, and has used.
+/// The limits and usage of one tenant.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TenantBudget {
     pub accepts_sessions: bool,
     pub share: f64,
     pub limits: Limits,
-    /// Set-ups that its quota leaves.
+    /// Set-ups left in its quota.
     pub quota: TokenBucket,
-    /// Set-ups that its own limit leaves.
+    /// Set-ups left in its own limit.
     pub limit: TokenBucket,
     pub held_sessions: usize,
 }
 
-/// How one request stands to a tenant's quota of sessions.
+/// The session quota of a tenant at the time of a request.
 pub(super) struct SessionQuota {
-    /// Sessions of its quota.
+    /// The tenant's quota.
     pub sessions: f64,
     /// Sessions that are reserved for other tenants.
     pub reserved_for_others: f64,
 }
 
 impl TenantBudget {
-    /// The share that counts in the sum of all shares.
+    /// The share that counts towards the sum of all shares.
     pub fn effective_share(&self) -> f64 {
         if self.accepts_sessions {
             self.share
@@ -68,12 +68,13 @@
         }
     }
 
-    /// Whether one more session is within its quota. Quotas are rounded down, or their sum would be above the capacity.
+    /// Whether one more session is within its quota. Quotas are rounded down, so that their sum does not exceed the
+    /// capacity.
     pub fn is_within_quota(&self, quota: &SessionQuota) -> bool {
         self.held_sessions as f64 + 1.0 <= quota.sessions.max(1.0)
     }
 
-    /// The tenant's own limits, whatever is free.
+    /// Checks the tenant's own limits, which apply even if there is free capacity.
     pub fn check_limits(&mut self, now: Timestamp) -> Result<(), Rejection> {
         if let Some(limit_per_s) = self.limits.set_ups_per_s {
             self.limit.refill(now, limit_per_s);
@@ -91,7 +92,7 @@
         Ok(())
     }
 
-    /// Its debt as a part of the greatest.
+    /// Its debt as a fraction of the maximum.
     fn debt(&self, quota_per_s: f64) -> f64 {
         (-self.quota.level / max_debt(quota_per_s)).clamp(0.0, 1.0)
     }
@@ -109,7 +110,7 @@
 }
 
 impl DirectorBudget {
-    /// Sessions held: beyond its quota a tenant leaves the reserve, and what is reserved for others, alone.
+    /// Checks the held sessions: a tenant beyond its quota can't use the reserve or what is reserved for others.
     pub fn check_sessions(
         &self,
         tenant: &TenantBudget,
@@ -133,8 +134,8 @@
         Err(Rejection::after_s(RejectionCause::SessionQuota, wait_s))
     }
 
-    /// Set-ups: what the tenant's quota has saved up, else what others leave. The more it owes, the more has to be
-    /// free for it.
+    /// Checks the set-ups: a tenant uses its quota, or else the unused set-ups of others. The greater its debt, the
+    /// more set-ups have to be free for it.
     pub fn check_set_ups(&self, tenant: &TenantBudget, quota_per_s: f64) -> Result<(), Rejection> {
         let total_per_s = self.capacity.set_ups_per_s;
         let headroom = if tenant.quota.level >= 1.0 {
--- a/crates/tenancy/src/change.rs
+++ b/crates/tenancy/src/change.rs
@@ -1,5 +1,5 @@
-//! What becomes of a tenant when someone changes it. The store calls [`apply_change`] within one transaction, so two
-//! callers that change the same tenant at once come one after the other, and the second finds its revision stale.
+//! Changes of a tenant. The store calls [`apply_change`] within one transaction, so concurrent changes of the same
+//! tenant are serialized, and the second one finds its revision stale.
 
 use crate::UnixMillis;
 use crate::history::HistoryEntry;
@@ -13,27 +13,28 @@
 pub(crate) const CREATE: &str = "create";
 const MILLIS_PER_SECOND: u64 = 1000;
 
-/// What is to be changed.
+/// A change of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// Create the tenant with these terms.
     Create(Value),
-    /// Replace its terms by these.
+    /// Replace its terms.
     Replace(Value),
     /// Apply a merge patch (RFC 7396) to its terms.
     Patch(Value),
-    /// Admit no new sessions.
+    /// Stop admitting new sessions.
     Suspend,
     /// Admit new sessions again.
     Resume,
-    /// Delete the tenant: no new sessions, and an end to those that play.
+    /// Delete the tenant: admit no new sessions, and end those that play after the grace period.
     Delete,
-    /// No director holds a session of it any more, or its time is over. Made by the service alone.
+    /// Finish a deletion, because no director holds a session of the tenant any more or its grace period is over. Made
+    /// by the service only.
     FinishDeletion,
 }
 
 impl Change {
-    /// The change's name, as the history has it.
+    /// The name of the change in the history.
     pub fn name(&self) -> &'static str {
         match self {
             Change::Create(_) => CREATE,
@@ -47,31 +48,31 @@
     }
 }
 
-/// The revisions that a change is meant for (`If-Match`).
+/// The revisions that a change applies to (`If-Match`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Precondition {
-    /// None was named.
+    /// No precondition was given.
     Missing,
-    /// `*`: whichever there is.
+    /// `*`: any revision.
     Any,
     /// One of these.
     Revisions(Vec<u64>),
 }
 
-/// Who makes a change, when, and for which revision.
+/// The context of a change: actor, permission, precondition and time.
 #[derive(Clone, Debug)]
 pub struct ChangeContext<'a> {
-    /// Who makes it, as the history names them.
+    /// Who makes the change, as recorded in the history.
     pub actor: &'a str,
-    /// Whether they may change what is agreed with the operators.
+    /// Whether the actor may change the fields that are agreed with the operators.
     pub may_edit_agreement: bool,
-    /// The revisions that the change is meant for.
+    /// The revisions that the change applies to.
     pub precondition: Precondition,
     /// The time of the change.
     pub now: UnixMillis,
 }
 
-/// A field of the terms that is agreed with the operators.
+/// A field of the terms that only operators may change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgreementField {
     /// [`Terms::share`].
@@ -98,40 +99,40 @@
 /// A state that does not allow a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateConflict {
-    /// Nothing but the end of the deletion can follow.
+    /// The tenant is being deleted: only the end of the deletion can follow.
     #[error("is being deleted")]
     Deleting,
-    /// Only a deletion that was begun can be finished.
+    /// The tenant is not being deleted, so there is no deletion to finish.
     #[error("is not being deleted")]
     NotDeleting,
 }
 
-/// Why a change was not made. Nothing has changed then.
+/// Why a change was rejected. The tenant is unchanged.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ChangeError {
     /// There is no such tenant.
     #[error("there is no such tenant")]
     NotFound,
-    /// The id is in use, or not free yet.
-    #[error("the id is in use, or what was called so has not ended yet")]
+    /// The id belongs to an existing tenant, or to one whose deletion is not finished.
+    #[error("the id belongs to an existing tenant, or to one whose deletion is not finished")]
     IdTaken,
-    /// A change has to name the revision that it is meant for.
-    #[error("the change does not name the revision that it is for")]
+    /// A change has to name the revision that it applies to.
+    #[error("the change does not name the revision that it applies to")]
     PreconditionRequired,
-    /// Another change came first.
-    #[error("another change came first: the tenant is at revision {current_revision}")]
+    /// The tenant has been changed since the revision that was named.
+    #[error("the revision is stale: the tenant is at revision {current_revision}")]
     Stale {
         /// The revision that the tenant is at.
         current_revision: u64,
     },
-    /// What is agreed with the operators would change.
-    #[error("agreed with the operators, and theirs to change: {}", join(.0))]
+    /// The actor may not change these fields, which are agreed with the operators.
+    #[error("only operators may change: {}", join(.0))]
     AgreementProtected(Vec<AgreementField>),
-    /// The tenant's state does not allow it.
+    /// The tenant's state does not allow the change.
     #[error("the tenant {0}")]
     StateConflict(#[source] StateConflict),
-    /// The terms are not valid.
-    #[error("the terms are not in order: {}", join(.0))]
+    /// The terms are invalid.
+    #[error("the terms are invalid: {}", join(.0))]
     Invalid(Vec<ValidationError>),
 }
 
@@ -140,7 +141,7 @@
     texts.join(", ")
 }
 
-/// A change that is to be stored.
+/// The result of a change, to be stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedChange {
     /// The tenant after the change.
@@ -149,7 +150,7 @@
     pub entry: HistoryEntry,
 }
 
-/// Applies a change to a tenant, or to an id without one.
+/// Applies a change to a tenant, or to an id without a tenant.
 pub fn apply_change(
     id: &TenantId,
     before: Option<&Tenant>,
@@ -179,7 +180,7 @@
     Ok(AppliedChange { tenant, entry })
 }
 
-/// A change of an id that no tenant has.
+/// Applies a change to an id without a tenant.
 fn create(
     id: &TenantId,
     revision: u64,
@@ -199,7 +200,7 @@
     })
 }
 
-/// A change of a tenant.
+/// Applies a change to an existing tenant.
 fn modify(
     current: &Tenant,
     revision: u64,
@@ -244,7 +245,7 @@
     }
 }
 
-/// The state after a change that the current state allows.
+/// The state after a change, or an error if the current state does not allow it.
 fn next_state(
     current: &Tenant,
     change: &Change,
@@ -255,7 +256,7 @@
             Ok(TenantState::Deleted { since: now })
         }
         (Change::FinishDeletion, _) => Err(ChangeError::StateConflict(StateConflict::NotDeleting)),
-        // Asked again, a deletion keeps its limit; nothing brings the tenant back.
+        // A repeated deletion keeps its deadline, and a deletion can't be undone.
         (Change::Delete, deleting @ TenantState::Deleting { .. }) => Ok(deleting),
         (_, TenantState::Deleting { .. }) => {
             Err(ChangeError::StateConflict(StateConflict::Deleting))
@@ -289,7 +290,7 @@
     }
 }
 
-/// The fields that differ and are agreed with the operators.
+/// The fields that are agreed with the operators and differ.
 fn changed_agreement(before: &Terms, after: &Terms) -> Vec<AgreementField> {
     let differences = [
         (AgreementField::Share, before.share != after.share),
--- a/crates/tenancy/src/connections.rs
+++ b/crates/tenancy/src/connections.rs
@@ -1,13 +1,16 @@
-//! Which connections a director keeps open, so that neither one tenant nor clients that name none hold them all.
+//! Selects the connections that a director keeps open, so that neither a single tenant nor clients without a tenant can
+//! use all of them.
 //!
-//! A connection is unassigned until the head of a request names a tenant. Unassigned ones have a quarter of the
-//! director's connections; when it is full, the one that has been idle longest is evicted for a new one, so slow heads
-//! cost those who send them. The rest goes to tenants by share. What others leave unused goes to whoever wants it, but
-//! for a reserve; when all is in use, a tenant within its quota gets the place of the longest idle connection of the
-//! tenant that is farthest above its own. A connection on which a complete request waits for its answer is never
-//! evicted; one on which only a part of a request has come is idle: content that never ends costs who sends it.
+//! A connection is unassigned until the head of a request names a tenant. A quarter of the director's connections may
+//! be unassigned; when that part is full, the longest idle unassigned connection is evicted for a new one, so clients
+//! that send heads slowly affect each other only. The rest is divided among tenants by share. Unused connections are
+//! available to all tenants, except for a reserve; when all are in use, a tenant within its quota gets the slot of the
+//! longest idle connection of the tenant that exceeds its quota the most. A connection on which a complete request
+//! waits for its answer is never evicted. A connection with a partial request counts as idle, so a client that never
+//! completes a request only risks its own connection.
 //!
-//! Cost of a request: look-ups, whatever the number of tenants; a walk over them only when all is in use.
+//! The cost of a request is a few look-ups, independent of the number of tenants. All tenants are iterated over only
+//! when all connections are in use.
 
 mod tenant_connections;
 
@@ -16,23 +19,23 @@
 use std::collections::BTreeMap;
 use tenant_connections::{Connection, IdleSet, TenantConnections};
 
-/// Part of the director's connections that may be unassigned.
+/// Fraction of the director's connections that may be unassigned.
 const UNASSIGNED_FRACTION: f64 = 0.25;
-/// Part of the rest that only tenants within their quota may use.
+/// Fraction of the rest that only tenants within their quota may use.
 const RESERVE: f64 = 0.05;
-/// Keeps a quota of zero from being divided by.
+/// Prevents a division by a quota of zero.
 const MIN_QUOTA: f64 = 1e-9;
 
-/// Numbers a connection. Later ones are greater.
+/// Identifies a connection. Ids of later connections are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
 /// A connection that has been opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedConnection {
-    /// Its id.
+    /// The id of the new connection.
     pub id: ConnectionId,
-    /// A connection that has to be closed for it.
+    /// A connection that has to be closed in exchange.
     pub evicted: Option<ConnectionId>,
 }
 
@@ -42,8 +45,8 @@
     /// There is no such tenant.
     #[error("there is no such tenant")]
     UnknownTenant,
-    /// The tenant has as many connections as its own limit allows, and none of them is idle.
-    #[error("above the tenant's own limit of connections")]
+    /// The tenant's own limit of connections is reached, and none of its connections is idle.
+    #[error("the tenant's limit of connections is reached")]
     TenantLimit,
     /// All connections are in use, and the tenant has used its quota.
     #[error("all connections are in use, and the tenant has used its quota")]
@@ -59,12 +62,12 @@
     open: BTreeMap<ConnectionId, Connection>,
     unassigned: usize,
     unassigned_idle: IdleSet,
-    /// Counts connections and when they become idle: an order in time.
+    /// Logical time that orders connections by when they were opened or became idle.
     sequence: u64,
 }
 
 impl Connections {
-    /// A director that keeps so many connections open at most.
+    /// Creates the state of a director that keeps at most `capacity` connections open.
     pub fn new(capacity: usize) -> Connections {
         Connections {
             capacity,
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Sets a tenant's terms. What it holds it keeps, also above a limit that has become smaller.
+    /// Sets a tenant's share and limits. Its connections are kept even if they exceed a reduced limit.
     pub fn set_tenant(&mut self, tenant: &TenantId, share: f64, limits: &Limits) {
         let state = self.tenants.entry(tenant.clone()).or_default();
         self.total_share += share - if state.exists { state.share } else { 0.0 };
@@ -86,7 +89,7 @@
         state.limits = limits.clone();
     }
 
-    /// A tenant exists no more: no further connection is assigned to it.
+    /// Removes a tenant: no further connection is assigned to it.
     pub fn remove_tenant(&mut self, tenant: &TenantId) {
         let state = self.tenants.get_mut(tenant);
         let Some(state) = state.filter(|state| state.exists) else {
@@ -97,28 +100,28 @@
         self.drop_if_empty(tenant);
     }
 
-    /// The limits of a tenant; nothing where there is no such tenant.
+    /// The limits of a tenant, or `None` if there is no such tenant.
     pub fn limits(&self, tenant: &TenantId) -> Option<&Limits> {
         self.existing(tenant).map(|state| &state.limits)
     }
 
-    /// A tenant's quota of the connections that are not for unassigned ones.
+    /// A tenant's quota of the connections that can be assigned.
     pub fn quota(&self, tenant: &TenantId) -> f64 {
         let share = self.existing(tenant).map_or(0.0, |state| state.share);
         self.assigned_capacity() as f64 * share / self.total_share.max(f64::MIN_POSITIVE)
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// Connections that are assigned to a tenant.
+    /// Number of open connections that are assigned to a tenant.
     pub fn tenant_open_count(&self, tenant: &TenantId) -> usize {
         self.tenants.get(tenant).map_or(0, |state| state.open)
     }
 
-    /// A connection has come. Nothing: it has to be closed, since all unassigned connections are busy.
+    /// Adds a new connection. Returns `None` if it has to be closed, because all unassigned connections are busy.
     pub fn open(&mut self) -> Option<OpenedConnection> {
         let is_full = self.unassigned >= self.unassigned_capacity();
         let evicted = if is_full {
@@ -141,8 +144,8 @@
         Some(OpenedConnection { id, evicted })
     }
 
-    /// The head of a request names a tenant. Returns a connection that has to be closed for it, if there is one. On an
-    /// error the connection is unassigned.
+    /// Assigns a connection to the tenant that the head of a request names. Returns the connection that has to be
+    /// closed in exchange, if any. On an error, the connection is unassigned.
     pub fn assign(
         &mut self,
         connection: ConnectionId,
@@ -156,7 +159,7 @@
             return Ok(None);
         }
         self.unassign(connection);
-        let evicted = self.place_for(tenant)?;
+        let evicted = self.find_slot(tenant)?;
         if let Some(evicted) = evicted {
             self.close(evicted);
         }
@@ -167,7 +170,7 @@
         Ok(evicted)
     }
 
-    /// A complete request has come and waits for its answer: the connection is not evicted until then.
+    /// Marks a connection on which a complete request waits for its answer: it is not evicted until it is idle.
     pub fn mark_busy(&mut self, connection: ConnectionId) {
         let Some(state) = self.open.get_mut(&connection) else {
             return;
@@ -184,7 +187,7 @@
         }
     }
 
-    /// The request has been answered, and another may follow; or only a part of one has come.
+    /// Marks a connection whose request has been answered, or on which only a part of a request has arrived.
     pub fn mark_idle(&mut self, connection: ConnectionId) {
         self.mark_busy(connection);
         let now = self.next_sequence();
@@ -199,7 +202,7 @@
         idle.insert(now, connection);
     }
 
-    /// A connection is closed.
+    /// Removes a closed connection.
     pub fn close(&mut self, connection: ConnectionId) {
         self.unassign(connection);
         if self.open.remove(&connection).is_some() {
@@ -227,11 +230,11 @@
         self.sequence
     }
 
-    /// Finds a place for one more connection of a tenant: a free one, or that of a connection to be evicted.
-    fn place_for(&self, tenant: &TenantId) -> Result<Option<ConnectionId>, AssignError> {
+    /// Finds a slot for one more connection of a tenant. Returns the connection to evict, or `None` if a slot is free.
+    fn find_slot(&self, tenant: &TenantId) -> Result<Option<ConnectionId>, AssignError> {
         let state = self.existing(tenant).ok_or(AssignError::UnknownTenant)?;
         if state.is_at_limit() {
-            // Its own idle connections make room for those that it uses.
+            // One of its own idle connections is evicted.
             let own = state.idle.longest_idle();
             return own.map(Some).ok_or(AssignError::TenantLimit);
         }
@@ -246,13 +249,13 @@
         if assigned as f64 + 1.0 <= limit {
             return Ok(None);
         }
-        let evicted = self.idle_of_farthest_above_quota(tenant);
+        let evicted = self.longest_idle_of_highest_usage(tenant);
         evicted.map(Some).ok_or(AssignError::Quota)
     }
 
-    /// The longest idle connection of the tenant that is farthest above its quota, if that is as far as this tenant
-    /// would be with one more.
-    fn idle_of_farthest_above_quota(&self, tenant: &TenantId) -> Option<ConnectionId> {
+    /// The longest idle connection of the tenant with the highest usage relative to its quota, unless this tenant's
+    /// usage would be higher with one more connection.
+    fn longest_idle_of_highest_usage(&self, tenant: &TenantId) -> Option<ConnectionId> {
         let usage = |tenant: &TenantId, open: f64| open / self.quota(tenant).max(MIN_QUOTA);
         let own_usage = usage(tenant, self.tenant_open_count(tenant) as f64 + 1.0);
         let farthest = self
@@ -267,7 +270,7 @@
         Some(idle)
     }
 
-    /// Takes a connection from its tenant; it is unassigned and busy then.
+    /// Removes a connection from its tenant. It is unassigned and busy afterwards.
     fn unassign(&mut self, connection: ConnectionId) {
         self.mark_busy(connection);
         let Some(state) = self.open.get_mut(&connection) else {
--- a/crates/tenancy/src/connections/tenant_connections.rs
+++ b/crates/tenancy/src/connections/tenant_connections.rs
@@ -1,11 +1,11 @@
-//! The connections of one tenant, and one connection.
+//! The state of one tenant's connections, and of one connection.
 
 use super::ConnectionId;
 use crate::tenant::TenantId;
 use crate::terms::Limits;
 use std::collections::BTreeSet;
 
-/// Idle connections, in the order in which they became idle.
+/// Idle connections in the order in which they became idle.
 #[derive(Debug, Default)]
 pub(super) struct IdleSet(BTreeSet<(u64, ConnectionId)>);
 
@@ -18,7 +18,7 @@
         self.0.remove(&(idle_since, connection));
     }
 
-    /// The connection that has been idle longest.
+    /// The connection that has been idle for the longest time.
     pub fn longest_idle(&self) -> Option<ConnectionId> {
         self.0.first().map(|(_, connection)| *connection)
     }
@@ -26,7 +26,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct TenantConnections {
-    /// The tenant exists; else only connections that are still open are counted.
+    /// Whether the tenant exists. If not, its connections that are still open are counted until they close.
     pub exists: bool,
     pub share: f64,
     pub limits: Limits,
@@ -35,7 +35,7 @@
 }
 
 impl TenantConnections {
-    /// Whether its own limit does not allow one more.
+    /// Whether its own limit does not allow one more connection.
     pub fn is_at_limit(&self) -> bool {
         let limit = self.limits.connections;
         limit.is_some_and(|limit| self.open >= limit as usize)
@@ -44,8 +44,8 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Connection {
-    /// The tenant that it is assigned to.
+    /// The tenant to which it is assigned.
     pub tenant: Option<TenantId>,
-    /// Since when it is idle, in counts of [`Connections`](super::Connections).
+    /// The logical time at which it became idle, as counted by [`Connections`](super::Connections).
     pub idle_since: Option<u64>,
 }
--- a/crates/tenancy/src/history.rs
+++ b/crates/tenancy/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a tenant: one entry for each change, enough to replay it.
+//! The history of a tenant: one entry for each change, from which the tenant can be replayed.
 
 use crate::UnixMillis;
 use crate::change::CREATE;
@@ -11,28 +11,28 @@
 pub struct HistoryEntry {
     /// The tenant that was changed.
     pub tenant: TenantId,
-    /// The revision that the change made.
+    /// The revision that resulted from the change.
     pub revision: u64,
-    /// When it was made.
+    /// The time of the change.
     #[serde(rename = "when")]
     pub changed_at: UnixMillis,
-    /// Who made it.
+    /// Who made the change.
     #[serde(rename = "who")]
     pub actor: String,
-    /// Which change it was, by [`Change::name`](crate::change::Change::name).
+    /// The kind of change, by [`Change::name`](crate::change::Change::name).
     #[serde(rename = "what")]
     pub change: String,
-    /// The tenant's state after it.
+    /// The tenant's state after the change.
     pub state: TenantState,
-    /// Terms before, where they changed.
+    /// The terms before the change, if they changed.
     #[serde(rename = "from")]
     pub terms_before: Option<Terms>,
-    /// Terms after, where they changed.
+    /// The terms after the change, if they changed.
     #[serde(rename = "to")]
     pub terms_after: Option<Terms>,
 }
 
-/// The tenant that a history leads to. Nothing where the entries are not one tenant's complete history in order.
+/// Replays a history. Returns `None` if the entries are not the complete history of one tenant in order.
 pub fn replay(history: &[HistoryEntry]) -> Option<Tenant> {
     let mut tenant = None;
     for entry in history {
@@ -43,7 +43,7 @@
 
 fn replay_entry(before: Option<Tenant>, entry: &HistoryEntry) -> Option<Tenant> {
     let is_create = entry.change == CREATE;
-    // A deleted tenant's id may be used again.
+    // The id of a deleted tenant may be reused.
     let current = before.filter(|tenant| !(tenant.state.is_deleted() && is_create));
     let is_next = current
         .as_ref()
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -1,16 +1,16 @@
 //! Tenants of a hosted service.
 //!
-//! - [`tenant`]: what a tenant is, and [`terms`]: what is agreed with it; [`schema`] publishes the JSON Schema of
-//!   terms and validates documents by it.
-//! - [`change`]: what becomes of a tenant when someone changes it, as a state machine, and [`history`]: the record of
-//!   all changes, from which a tenant can be replayed.
-//! - [`access`]: roles and what each may do; [`token`]: how a caller proves its role.
-//! - [`admission`]: which tenant's sessions are admitted when a director is short of capacity.
-//! - [`connections`]: which tenant's connections stay open when a director is short of them.
-//! - [`usage`]: what directors hold of each tenant, and when a deleted tenant's last session is over.
+//! - [`tenant`]: ids, states and records of tenants, and [`terms`]: the agreed terms; [`schema`] publishes the JSON
+//!   Schema of terms and validates documents against it.
+//! - [`change`]: the state machine that applies changes to a tenant, and [`history`]: the record of all changes, from
+//!   which a tenant can be replayed.
+//! - [`access`]: roles and their permissions; [`token`]: the bearer tokens that authenticate a role.
+//! - [`admission`]: admission of sessions by tenant when a director is short of capacity.
+//! - [`connections`]: eviction of connections by tenant when a director is short of connections.
+//! - [`usage`]: the sessions that directors hold of each tenant, and whether a deleted tenant is drained.
 //!
-//! Nothing here knows sockets, files, a clock, sessions beyond their number, or how requests are placed. Time is an
-//! argument: the same inputs give the same behavior, whatever drives them.
+//! The crate does not depend on sockets, files, a clock, the details of sessions or their placement. Time is an
+//! argument: the same inputs always give the same results.
 
 #![deny(missing_docs)]
 
--- a/crates/tenancy/src/schema.rs
+++ b/crates/tenancy/src/schema.rs
@@ -1,37 +1,37 @@
-//! The published JSON Schema of [`Terms`], and the validation of documents by it.
+//! The published JSON Schema of [`Terms`], and the validation of documents against it.
 
 use crate::terms::{Class, Terms};
 use serde::Serialize;
 use serde_json::Value;
 use std::sync::LazyLock;
 
-/// Errors of one document that are reported at most.
+/// Maximum number of errors that are reported for a document.
 const MAX_ERRORS: usize = 20;
 
-/// What is wrong with a document, and where.
+/// An error in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, thiserror::Error)]
 #[error("{pointer}: {detail}")]
 pub struct ValidationError {
-    /// The place in the document, as a JSON pointer.
+    /// The location in the document, as a JSON pointer.
     pub pointer: String,
-    /// What is wrong, and what would be right.
+    /// The violated rule.
     pub detail: String,
 }
 
-/// The JSON Schema of a tenant's terms, as the API publishes it.
+/// The JSON Schema of a tenant's terms, as published by the API.
 pub fn terms_schema() -> &'static Value {
     static SCHEMA: LazyLock<Value> = LazyLock::new(|| {
         let settings = schemars::generate::SchemaSettings::draft2020_12();
         let generator = settings.into_generator();
         let mut schema: Value = generator.into_root_schema_for::<Terms>().into();
-        // An id of its own, so that its references are resolved within it also as part of another document.
+        // With its own id, references are resolved within the schema even if it is embedded in another document.
         schema["$id"] = "urn:shalewall:terms".into();
         schema
     });
     &SCHEMA
 }
 
-/// Reads terms: by the published schema, then by what has to hold between their fields.
+/// Parses terms and validates them, first against the published schema, then the relations between their fields.
 pub fn parse_terms(document: &Value) -> Result<Terms, Vec<ValidationError>> {
     validate_schema(document)?;
     let terms: Terms = serde_json::from_value(document.clone()).map_err(|error| {
@@ -56,7 +56,7 @@
             detail: error.to_string(),
         })
         .collect();
-    none_or_errors(errors)
+    errors_to_result(errors)
 }
 
 fn validate_classes(terms: &Terms) -> Result<(), Vec<ValidationError>> {
@@ -66,7 +66,7 @@
         .flat_map(|(name, class)| validate_class(name, class))
         .collect();
     errors.truncate(MAX_ERRORS);
-    none_or_errors(errors)
+    errors_to_result(errors)
 }
 
 fn validate_class(name: &str, class: &Class) -> Vec<ValidationError> {
@@ -88,7 +88,7 @@
     errors
 }
 
-fn none_or_errors(errors: Vec<ValidationError>) -> Result<(), Vec<ValidationError>> {
+fn errors_to_result(errors: Vec<ValidationError>) -> Result<(), Vec<ValidationError>> {
     if errors.is_empty() {
         Ok(())
     } else {
--- a/crates/tenancy/src/tenant.rs
+++ b/crates/tenancy/src/tenant.rs
@@ -1,4 +1,4 @@
-//! What a tenant is: its id, its state, its terms and its revision.
+//! A tenant: its id, state, terms and revision.
 
 use crate::UnixMillis;
 use crate::terms::Terms;
@@ -7,12 +7,13 @@
 
 const MAX_ID_BYTES: usize = 63;
 
-/// A tenant's id: 1 to 63 of a-z, 0-9 and '-', a letter first. It is used in paths and logs, so nothing else.
+/// A tenant's id: 1 to 63 of a-z, 0-9 and '-', a letter first. The characters are restricted because ids are used in
+/// paths and logs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TenantId(String);
 
-/// A text is no tenant id.
+/// The text is not a tenant id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("has to be 1 to 63 of a-z, 0-9 and '-', a letter first")]
 pub struct InvalidTenantId;
@@ -52,23 +53,23 @@
     }
 }
 
-/// Whether a tenant gets new sessions. A deleted tenant keeps its record, so that its history has an end, and its id
-/// is free again.
+/// The state of a tenant, which determines whether new sessions are admitted. The record of a deleted tenant is kept,
+/// so that its history is complete; its id is free for reuse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "is")]
 pub enum TenantState {
     /// New sessions are admitted.
     Active,
-    /// No new sessions; those that play go on.
+    /// No new sessions are admitted; existing ones continue.
     Suspended,
-    /// No new sessions; those that play end by themselves, or at `until`.
+    /// No new sessions are admitted; existing ones end by themselves, or are ended at `until`.
     Deleting {
-        /// When the deletion was asked for.
+        /// When the deletion was requested.
         since: UnixMillis,
-        /// When the last sessions are ended.
+        /// When the remaining sessions are ended.
         until: UnixMillis,
     },
-    /// No sessions, and its id is free.
+    /// No session is left, and the id is free.
     #[serde(rename = "gone")]
     Deleted {
         /// When the deletion was finished.
@@ -93,16 +94,16 @@
     }
 }
 
-/// A tenant as the store keeps it.
+/// The record of a tenant in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
     /// Its id.
     pub id: TenantId,
-    /// Counts the changes under this id, over all tenants that had it; never decreases.
+    /// Number of changes under this id, including those of earlier tenants with the same id; never decreases.
     pub revision: u64,
-    /// Whether it gets new sessions.
+    /// Its state.
     pub state: TenantState,
-    /// What is agreed with it.
+    /// Its terms.
     pub terms: Terms,
     /// When it was created.
     #[serde(rename = "created")]
--- a/crates/tenancy/src/terms.rs
+++ b/crates/tenancy/src/terms.rs
@@ -1,7 +1,7 @@
-//! What is agreed with a tenant.
+//! The terms that are agreed with a tenant.
 //!
-//! The doc comments of these types are part of the published JSON Schema, so they stay as they are, with its name for a
-//! director: front. A field with an empty `description` has none there, and its comment may change.
+//! The doc comments of these types are part of the published JSON Schema and must not change, unless the item has a
+//! `description` of its own. In the published schema, a director is called "front".
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -14,10 +14,14 @@
     /// The tenant's name, for people.
     #[schemars(description = "", length(min = 1, max = 128))]
     pub display_name: String,
-    /// Part of what a front and the pool can do, over the sum of all tenants' shares.
-    #[schemars(range(min = 0.001, max = 1000000.0))]
+    /// The tenant's weight for the capacity of a director and of the shared nodes, relative to the sum of all tenants'
+    /// shares.
+    #[schemars(
+        description = "Part of what a front and the pool can do, over the sum of all tenants' shares.",
+        range(min = 0.001, max = 1000000.0)
+    )]
     pub share: f64,
-    /// Nodes that the tenant's sessions may be set up on.
+    /// The nodes on which the tenant's sessions may be set up.
     #[schemars(description = "")]
     #[serde(default)]
     pub fleet: Fleet,
@@ -28,12 +32,15 @@
     #[schemars(extend("maxProperties" = 100000))]
     #[serde(default)]
     pub titles: BTreeMap<String, Title>,
-    /// What the tenant may use at most.
+    /// Limits of the tenant's usage.
     #[schemars(description = "")]
     #[serde(default)]
     pub limits: Limits,
-    /// When the tenant is deleted, what plays may go on for so long, seconds.
-    #[schemars(range(min = 0, max = 86400))]
+    /// How long playing sessions may continue after the tenant is deleted, seconds.
+    #[schemars(
+        description = "When the tenant is deleted, what plays may go on for so long, seconds.",
+        range(min = 0, max = 86400)
+    )]
     #[serde(rename = "ends_within_s", default = "one_hour_s")]
     pub deletion_grace_s: u32,
 }
@@ -63,11 +70,11 @@
     #[schemars(description = "", range(min = 1, max = 3600000))]
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u32,
-    /// A request that is not answered by then is given up.
+    /// Time after which a request that has not been answered fails.
     #[schemars(description = "", range(min = 1, max = 3600000))]
     #[serde(rename = "give_up_ms")]
     pub deadline_ms: u32,
-    /// Weight of a session of this class beside one of another class.
+    /// Weight of a session of this class relative to sessions of other classes.
     #[schemars(description = "", range(min = 0.0, max = 1000000.0))]
     #[serde(rename = "worth")]
     pub priority_weight: f64,
@@ -75,11 +82,12 @@
     #[schemars(description = "", range(max = 63))]
     #[serde(rename = "floor", default)]
     pub lowest_rung: u32,
-    /// The highest rung that a session may be given; absent: the site's highest.
+    /// The highest rung that a session may be given; by default the site's highest.
     #[schemars(description = "", range(max = 63))]
     #[serde(rename = "top")]
     pub highest_rung: Option<u32>,
-    /// Sessions of one title that a front may hold; 0: no limit.
+    /// Maximum number of sessions of one title that a director may hold; 0 means no limit.
+    #[schemars(description = "Sessions of one title that a front may hold; 0: no limit.")]
     #[serde(rename = "seats", default)]
     pub session_limit_per_title: u32,
 }
@@ -98,8 +106,12 @@
     pub replica_cells: u64,
 }
 
-/// What a tenant may use at most, whatever is free, at each front. Absent: no limit but the front's own.
+/// Limits of a tenant's usage at each director, which apply even if there is free capacity. A limit that is absent
+/// leaves only the director's own.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(
+    description = "What a tenant may use at most, whatever is free, at each front. Absent: no limit but the front's own."
+)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
     /// Set-ups a second.
--- a/crates/tenancy/src/token.rs
+++ b/crates/tenancy/src/token.rs
@@ -1,5 +1,5 @@
-//! Bearer tokens: `swt.ID.SECRET`. Only a hash of the secret is stored, so that whoever reads the store can't use it.
-//! Secrets are 32 random bytes: a plain fast hash is enough, since there is nothing to guess.
+//! Bearer tokens: `swt.ID.SECRET`. Only a hash of the secret is stored, so that tokens can't be recovered from the
+//! store. Secrets are 32 random bytes, so a fast hash is sufficient: they can't be guessed.
 
 use crate::UnixMillis;
 use crate::access::Role;
@@ -10,15 +10,15 @@
 const ID_BYTES: usize = 8;
 const SECRET_BYTES: usize = 32;
 const HASH_BYTES: usize = 32;
-/// Keeps these hashes apart from any other hash of the same bytes.
+/// Domain separation: distinguishes these hashes from other hashes of the same bytes.
 const HASH_CONTEXT: &str = "shalewall 2026 bearer token";
 
-/// What is stored of a token.
+/// The stored record of a token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
-    /// Its id, in hexadecimal digits.
+    /// Its id in hexadecimal digits.
     pub id: String,
-    /// The role of whoever shows it.
+    /// The role of its holder.
     pub role: Role,
     hash: [u8; HASH_BYTES],
     /// When it was created.
@@ -32,13 +32,13 @@
 /// A new token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IssuedToken {
-    /// What is stored of it.
+    /// The record to store.
     pub token: Token,
-    /// What its holder shows. It is stored nowhere.
+    /// The token text for its holder, which is not stored.
     pub text: String,
 }
 
-/// A token as its holder shows it.
+/// A token as presented by a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PresentedToken<'a> {
     /// Its id.
@@ -47,7 +47,7 @@
 }
 
 impl Token {
-    /// A new token from random bytes.
+    /// Issues a new token. `id` and `secret` must be random.
     pub fn issue(
         role: Role,
         id: [u8; ID_BYTES],
@@ -69,15 +69,15 @@
 }
 
 impl<'a> PresentedToken<'a> {
-    /// Reads a token; nothing where the text is not one.
+    /// Parses a token. Returns `None` if the text is not a token.
     pub fn parse(text: &'a str) -> Option<PresentedToken<'a>> {
         let (id, secret) = text.strip_prefix(PREFIX)?.split_once('.')?;
         let is_complete = id.len() == 2 * ID_BYTES && secret.len() == 2 * SECRET_BYTES;
         is_complete.then_some(PresentedToken { id, secret })
     }
 
-    /// The role of this token, if the one stored under its id is the same and has not been revoked. The same work is
-    /// done for an id that is not stored, so that the time taken does not tell whether it is.
+    /// Returns the role of this token if it matches the record stored under its id and has not been revoked. An unknown
+    /// id takes the same work, so that the timing does not reveal whether the id exists.
     pub fn authenticate(&self, stored: Option<&Token>) -> Option<Role> {
         let no_hash = [0u8; HASH_BYTES];
         let stored_hash = stored.map_or(&no_hash, |token| &token.hash);
--- a/crates/tenancy/src/usage.rs
+++ b/crates/tenancy/src/usage.rs
@@ -1,88 +1,88 @@
-//! What directors report that they hold of each tenant, and when the last session of a deleted one is over.
+//! Usage reports of directors, and whether the last session of a deleted tenant is over.
 //!
-//! A director that is cut off can't report, and goes on serving what it knew. So the deletion of a tenant is finished
-//! only when every director that was heard of within a stated time has just reported that it knows of the deletion and
-//! holds nothing.
+//! A director that is disconnected can't report, and continues to serve the tenants that it knew. So the deletion of a
+//! tenant is finished only when every director that has reported within a given time has just reported that it has
+//! applied the deletion and holds no session of the tenant.
 
 use crate::UnixMillis;
 use crate::tenant::TenantId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Directors at most: a report of one more is rejected.
+/// Maximum number of directors. Reports of further ones are rejected.
 pub const MAX_DIRECTORS: usize = 1024;
-/// An older report says nothing of what is held now.
-const FRESH_MS: u64 = 5_000;
-/// Tenants at most whose sessions are asked for at once.
+/// Maximum age of a report that counts as current, in milliseconds.
+const MAX_CURRENT_REPORT_AGE_MS: u64 = 5_000;
+/// Maximum number of tenants whose sessions are requested from directors at once.
 const MAX_REQUESTED_TENANTS: usize = 64;
-/// A tenant's sessions are asked for so long after somebody wanted to see them.
+/// How long a tenant's sessions are requested from directors after the last query for them, in milliseconds.
 const REQUEST_LIFETIME_MS: u64 = 10_000;
 
-/// A session as its director reports it.
+/// A session as reported by its director.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedSession {
     /// The session's number.
     pub session: u64,
-    /// Its class, by name.
+    /// Name of its class.
     pub class: String,
-    /// Its title, by name.
+    /// Name of its title.
     pub title: String,
-    /// The node where it plays or is being set up, by number.
+    /// The number of the node at which it plays or is being set up.
     pub node: Option<u64>,
     /// Its rung.
     pub rung: usize,
-    /// Whether it plays; else it is being set up.
+    /// Whether it plays. Otherwise it is being set up.
     #[serde(rename = "plays")]
     pub is_playing: bool,
 }
 
-/// What one director reports.
+/// The usage report of one director.
 #[derive(Clone, Debug, Deserialize)]
 pub struct UsageReport {
     /// The director's number.
     #[serde(rename = "front")]
     pub director: u32,
-    /// The last change of tenants that it has applied.
+    /// The number of the last change of tenants that it has applied.
     #[serde(rename = "number")]
     pub change_number: u64,
-    /// Sessions that it holds by tenant, of those that have some.
+    /// Numbers of sessions that it holds, by tenant. Tenants without sessions are omitted.
     #[serde(rename = "held")]
     pub session_counts: BTreeMap<TenantId, u64>,
-    /// Sessions of the tenants that were asked for, perhaps not all of them.
+    /// Sessions of the requested tenants. The list may be incomplete.
     #[serde(default)]
     pub sessions: BTreeMap<TenantId, Vec<ReportedSession>>,
 }
 
-/// There are as many directors as are followed.
+/// The limit of directors is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("there are too many directors: reports of {MAX_DIRECTORS} are kept at most")]
+#[error("too many directors: reports of at most {MAX_DIRECTORS} are kept")]
 pub struct TooManyDirectors;
 
-/// How many sessions of a tenant one director holds.
+/// The number of a tenant's sessions at one director.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct DirectorUsage {
     /// The director's number.
     #[serde(rename = "front")]
     pub director: u32,
-    /// How many sessions it holds.
+    /// Number of sessions that it holds.
     #[serde(rename = "sessions")]
     pub session_count: u64,
-    /// Milliseconds since it reported so.
+    /// Age of its report in milliseconds.
     pub age_ms: u64,
 }
 
-/// The sessions of a tenant that one director holds.
+/// A tenant's sessions at one director.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DirectorSessions {
     /// The director's number.
     #[serde(rename = "front")]
     pub director: u32,
-    /// Milliseconds since it reported them.
+    /// Age of its report in milliseconds.
     pub age_ms: u64,
-    /// How many sessions it holds.
+    /// Number of sessions that it holds.
     #[serde(rename = "held")]
     pub session_count: u64,
-    /// Those that it reported; nothing where it has not been asked yet.
+    /// The reported sessions, or `None` if they have not been requested and reported yet.
     pub sessions: Option<Vec<ReportedSession>>,
 }
 
@@ -102,18 +102,18 @@
     }
 }
 
-/// The last report of each director.
+/// Tracks the last report of each director.
 pub struct UsageTracker {
     started_at: UnixMillis,
-    /// A director that has not been heard of for so long is taken for gone, and its sessions with it.
+    /// Time without a report after which a director and its sessions are considered gone, in milliseconds.
     forget_after_ms: u64,
     reports: BTreeMap<u32, ReceivedReport>,
-    /// Tenants whose sessions somebody wants to see, and when that was said last.
+    /// Tenants whose sessions are requested from directors, and the time of the last query for them.
     requested: BTreeMap<TenantId, UnixMillis>,
 }
 
 impl UsageTracker {
-    /// A tracker that hears reports from now on, and forgets a director that has been silent for so long.
+    /// Creates a tracker that forgets a director `forget_after_ms` milliseconds after its last report.
     pub fn new(now: UnixMillis, forget_after_ms: u64) -> UsageTracker {
         UsageTracker {
             started_at: now,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Records a director's report. Returns the tenants whose sessions its next report should list.
+    /// Records a director's report. Returns the tenants whose sessions its next report should include.
     pub fn record(
         &mut self,
         now: UnixMillis,
@@ -146,8 +146,8 @@
         Ok(self.requested.keys().cloned().collect())
     }
 
-    /// A tenant's sessions as directors reported them last. From now on for a while they are asked for: what is not
-    /// there yet comes with the next reports.
+    /// A tenant's sessions as last reported by directors. Also requests them from directors for a while: sessions that
+    /// are not available yet arrive with the next reports.
     pub fn sessions_by_director(
         &mut self,
         now: UnixMillis,
@@ -168,7 +168,7 @@
             .collect()
     }
 
-    /// How many sessions of a tenant each director holds, as of its last report.
+    /// The number of a tenant's sessions at each director, as of its last report.
     pub fn usage_by_director(&self, now: UnixMillis, tenant: &TenantId) -> Vec<DirectorUsage> {
         self.reports
             .values()
@@ -180,16 +180,17 @@
             .collect()
     }
 
-    /// Whether the last session of a tenant is over, as of a change: all directors that may be running say so.
+    /// Whether the last session of a tenant is over: all directors that may be running have recently reported that they
+    /// have applied change `change_number` and hold no session of the tenant.
     pub fn is_drained(&self, now: UnixMillis, tenant: &TenantId, change_number: u64) -> bool {
-        let heard_long_enough = now.saturating_sub(self.started_at) >= self.forget_after_ms;
-        let mut maybe_running = self
+        let has_tracked_long_enough = now.saturating_sub(self.started_at) >= self.forget_after_ms;
+        let mut possibly_running = self
             .reports
             .values()
             .filter(|received| received.age_ms(now) < self.forget_after_ms);
-        heard_long_enough
-            && maybe_running.all(|received| {
-                received.age_ms(now) < FRESH_MS
+        has_tracked_long_enough
+            && possibly_running.all(|received| {
+                received.age_ms(now) < MAX_CURRENT_REPORT_AGE_MS
                     && received.report.change_number >= change_number
                     && !received.report.session_counts.contains_key(tenant)
             })
--- a/crates/tenancy/tests/access.rs
+++ b/crates/tenancy/tests/access.rs
@@ -1,4 +1,4 @@
-//! What each role may do to its own tenant, to another, and to the service.
+//! The permissions of each role for its own tenant, for other tenants and for the service.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::id;
 
 #[test]
-fn each_role_may_do_what_the_table_says() {
+fn each_role_has_the_access_in_the_table() {
     let own = id("own");
     let other = id("other");
     let permissions = [
@@ -18,7 +18,7 @@
         Permission::ManageTokens,
         Permission::FollowChanges,
     ];
-    // Of each role: access to its own tenant, and to another.
+    // For each role: access to its own tenant, and to another one.
     let table = [
         (Role::Operator, [Granted; 6], [Granted; 6]),
         (
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_role_is_named_with_its_tenant_or_without() {
+fn a_role_name_requires_or_excludes_a_tenant() {
     let role = |name, tenant: Option<&str>| Role::from_name(name, tenant.map(str::to_string));
     assert_eq!(role("operator", None), Ok(Role::Operator));
     assert_eq!(role("front", None), Ok(Role::Director));
--- a/crates/tenancy/tests/change.rs
+++ b/crates/tenancy/tests/change.rs
@@ -1,4 +1,5 @@
-//! Changes of a tenant: every change in every state, preconditions, and what an administrator may not change.
+//! Changes of a tenant: every change in every state, preconditions, and the fields that an administrator may not
+//! change.
 
 mod support;
 
@@ -33,7 +34,7 @@
         Change::Delete,
         Change::FinishDeletion,
     ];
-    // y: made; t: id taken; n: not found; s: the state does not allow it.
+    // y: applied; t: id taken; n: not found; s: state conflict.
     let expected = ["ynnnnn", "tyyyys", "tyyyys", "tsssyy", "ynnnnn"];
     for (before, expected) in states().iter().zip(expected) {
         for (made, expected) in changes.iter().zip(expected.chars()) {
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_deletion_keeps_its_limit_and_frees_the_id_only_when_it_is_over() {
+fn a_deletion_keeps_its_deadline_and_frees_the_id_only_when_finished() {
     let tenant = created();
     let delete = |tenant: &Tenant, now| change(Some(tenant), &Change::Delete, now).unwrap().tenant;
     let deleting = delete(&tenant, 1_000);
@@ -70,7 +71,7 @@
     assert_eq!(
         delete(&deleting, 50_000).state,
         deleting.state,
-        "asked again it does not begin anew"
+        "a repeated deletion does not restart"
     );
     let create = Change::Create(document());
     assert_eq!(
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn a_state_conflict_says_which() {
+fn a_state_conflict_names_the_state() {
     let [_, active, _, deleting, _] = &states()[..] else {
         panic!("five states")
     };
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_change_needs_the_revision_that_it_is_for() {
+fn a_change_requires_the_current_revision() {
     let tenant = created();
     let suspend = |precondition| {
         let context = operator(precondition, 5);
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn a_tenants_own_administrator_changes_no_agreement() {
+fn a_tenants_administrator_can_not_change_agreed_fields() {
     let tenant = created();
     let administrator = ChangeContext {
         actor: "adm",
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_merge_patch_removes_what_is_null_and_replaces_lists_completely() {
+fn a_merge_patch_removes_null_members_and_replaces_lists() {
     let mut full = document();
     full["titles"] = json!({ "x": { "home": 1, "spread": 3 }, "y": { "home": 2, "spread": 3 } });
     full["fleet"] = json!({ "own": [1, 2, 3] });
--- a/crates/tenancy/tests/connections.rs
+++ b/crates/tenancy/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections by tenant: bounds that hold whatever comes, quotas that are met, nobody evicted while it is busy.
+//! Connections by tenant: bounds hold in any order of events, quotas are met, and no busy connection is evicted.
 
 mod support;
 
@@ -16,9 +16,12 @@
     }
 }
 
-/// A connection that comes and sends a complete request of a tenant.
+/// Opens a connection on which a complete request of a tenant arrives.
 fn connect(connections: &mut Connections, tenant: &str) -> Result<ConnectionId, AssignError> {
-    let connection = connections.open().expect("none is busy").id;
+    let connection = connections
+        .open()
+        .expect("an unassigned connection is idle or free")
+        .id;
     match connections.assign(connection, &id(tenant)) {
         Ok(_) => {
             connections.mark_busy(connection);
@@ -39,15 +42,17 @@
 }
 
 #[test]
-fn slow_heads_cost_those_who_send_them() {
+fn connections_without_a_tenant_evict_each_other_only() {
     let mut connections = two_tenants(400);
     let of_quiet: Vec<_> = (0..50)
         .map(|_| connect(&mut connections, "quiet").unwrap())
         .collect();
-    // A thousand connections that never name a tenant.
+    // 1,000 connections that never name a tenant.
     let mut closed = 0;
     for _ in 0..1000 {
-        let opened = connections.open().expect("the others are idle");
+        let opened = connections
+            .open()
+            .expect("the unassigned connections are idle");
         let is_other = |evicted| !of_quiet.contains(&evicted);
         closed += u32::from(opened.evicted.is_some_and(is_other));
     }
@@ -55,20 +60,20 @@
     assert_eq!(
         connections.open_count(),
         150,
-        "a quarter of the director is theirs"
+        "a quarter of the connections may be unassigned"
     );
     assert_eq!(connections.tenant_open_count(&id("quiet")), 50);
     assert!(connect(&mut connections, "quiet").is_ok());
 }
 
 #[test]
-fn a_tenant_within_its_quota_gets_idle_places_of_one_above_it_and_no_busy_one() {
+fn a_tenant_within_its_quota_evicts_idle_but_not_busy_connections_of_one_above_it() {
     let mut connections = two_tenants(400);
     let loud: Vec<_> = std::iter::from_fn(|| connect(&mut connections, "loud").ok()).collect();
     assert_eq!(
         loud.len(),
         285,
-        "all but the reserve, while nobody else wants them"
+        "all but the reserve, if no other tenant uses them"
     );
     for connection in &loud[..200] {
         connections.mark_idle(*connection);
@@ -80,18 +85,18 @@
         evicted.extend(assigned.unwrap_or_else(|error| panic!("{i}: {error:?}")));
         connections.mark_busy(connection);
     }
-    // Fifteen places of the reserve; then the idle ones, the longest idle first.
+    // 15 connections of the reserve, then the slots of idle ones, the longest idle first.
     assert_eq!(evicted, loud[..135]);
     assert_eq!(connections.tenant_open_count(&id("quiet")), 150);
     assert_eq!(connections.tenant_open_count(&id("loud")), 150);
-    // Above its quota it gets nothing more while the other is at its own.
+    // Above its quota it gets no more connections while the other tenant is at its quota.
     assert_eq!(connect(&mut connections, "quiet"), Err(AssignError::Quota));
-    // Its own idle ones it may have again.
+    // A tenant may use its own idle connections again.
     assert_eq!(connections.assign(loud[140], &id("loud")), Ok(None));
 }
 
 #[test]
-fn limits_other_names_and_removed_tenants() {
+fn limits_reassignment_and_removal_of_tenants() {
     let mut connections = two_tenants(100);
     connections.set_tenant(&id("loud"), 1.0, &connection_limit(Some(2)));
     let first = connect(&mut connections, "loud").unwrap();
@@ -105,13 +110,13 @@
     assert_eq!(
         connections.assign(third, &id("loud")),
         Ok(Some(first)),
-        "its own idle one makes room"
+        "the tenant's own idle connection is evicted"
     );
     assert_eq!(
         connect(&mut connections, "nobody"),
         Err(AssignError::UnknownTenant)
     );
-    // The same connection under another name counts there; once the tenant is removed, no more.
+    // A connection that names another tenant counts for that one, until the tenant is removed.
     assert_eq!(connections.assign(second, &id("quiet")), Ok(None));
     assert_eq!(connections.tenant_open_count(&id("loud")), 1);
     assert_eq!(connections.tenant_open_count(&id("quiet")), 1);
@@ -127,36 +132,36 @@
 }
 
 #[test]
-fn a_request_that_names_nobody_is_answered_however_many_come() {
+fn busy_unassigned_connections_are_not_evicted() {
     let mut connections = two_tenants(40);
     let busy: Vec<_> = (0..10)
-        .map(|_| connections.open().expect("a quarter").id)
+        .map(|_| connections.open().expect("a quarter may be unassigned").id)
         .collect();
     for connection in &busy {
         connections.mark_busy(*connection);
     }
-    assert_eq!(connections.open(), None, "no busy one is evicted");
+    assert_eq!(connections.open(), None, "no busy connection is evicted");
     connections.mark_idle(busy[3]);
-    let opened = connections.open().expect("one is idle");
+    let opened = connections.open().expect("a connection is idle");
     assert_eq!(opened.evicted, Some(busy[3]));
     assert!(
         connections.assign(busy[0], &id("quiet")).is_ok(),
-        "assigned, it leaves room"
+        "an assigned connection no longer counts as unassigned"
     );
     assert!(connections.open().is_some());
 }
 
 const TENANTS: [&str; 3] = ["a", "b", "c"];
 
-/// What a connection is, as the test knows it.
+/// The expected state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Expected {
-    /// The tenant's place in [`TENANTS`].
+    /// The tenant's index in [`TENANTS`].
     tenant: Option<usize>,
     is_busy: bool,
 }
 
-/// The connections of three tenants, of which the last may have five.
+/// Connections of three tenants, the last of which has a limit of five, with the expected state of each.
 struct Model {
     connections: Connections,
     open: BTreeMap<ConnectionId, Expected>,
@@ -276,10 +281,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever comes: the bound holds, counts are what is open, no busy connection is evicted, and a tenant within its
-    /// quota is rejected only while all places above quotas are busy.
+    /// In any sequence of events, the bound holds, the counts match the open connections, no busy connection is
+    /// evicted, and a tenant within its quota is rejected only while all connections above quotas are busy.
     #[test]
-    fn bounds_hold_whatever_comes(
+    fn bounds_hold_in_any_sequence_of_events(
         capacity in 4usize..60,
         steps in prop::collection::vec((0u8..6, 0u8..4, any::<u8>()), 1..400),
     ) {
--- a/crates/tenancy/tests/history.rs
+++ b/crates/tenancy/tests/history.rs
@@ -1,4 +1,4 @@
-//! A tenant replayed from its history.
+//! Replaying a tenant from its history.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::{change, document};
 
 #[test]
-fn a_replayed_history_leads_to_the_tenant_and_a_gap_in_it_to_nothing() {
+fn a_complete_history_replays_the_tenant_and_one_with_a_gap_is_rejected() {
     let mut tenant: Option<Tenant> = None;
     let mut history: Vec<HistoryEntry> = Vec::new();
     let changes = [
--- a/crates/tenancy/tests/schema.rs
+++ b/crates/tenancy/tests/schema.rs
@@ -1,4 +1,4 @@
-//! What the schema of terms rejects, and what a tenant's id may be.
+//! The validation of terms and of tenant ids.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::document;
 
 #[test]
-fn the_schema_rejects_with_the_place() {
+fn invalid_terms_are_rejected_with_the_location_of_the_error() {
     assert!(parse_terms(&document()).is_ok());
     assert_eq!(terms_schema()["type"], "object");
     let cases = [
--- a/crates/tenancy/tests/support/mod.rs
+++ b/crates/tenancy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests need: ids, terms, and who makes a change.
+//! Shared test helpers: ids, terms and changes.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
         "classes": { "report": { "paid": true, "aim_ms": 1000, "give_up_ms": 4000, "worth": 2.0 } } })
 }
 
-/// An operator's change.
+/// The context of an operator's change.
 pub fn operator(precondition: Precondition, now: u64) -> ChangeContext<'static> {
     ChangeContext {
         actor: "op",
@@ -27,7 +27,7 @@
     }
 }
 
-/// An operator changes tenant `a`, whatever its revision.
+/// Applies an operator's change to tenant `a`, whatever its revision.
 pub fn change(
     before: Option<&Tenant>,
     change: &Change,
@@ -36,7 +36,7 @@
     apply_change(&id("a"), before, change, &operator(Precondition::Any, now))
 }
 
-/// A tenant that was just created, at time 1.
+/// A tenant that was created at time 1.
 pub fn created() -> Tenant {
     let create = Change::Create(document());
     let context = operator(Precondition::Missing, 1);
--- a/crates/tenancy/tests/token.rs
+++ b/crates/tenancy/tests/token.rs
@@ -1,10 +1,10 @@
-//! Tokens: shown, stored, revoked.
+//! Tokens: authentication, stored records and revocation.
 
 use shalewall_tenancy::access::Role;
 use shalewall_tenancy::token::{IssuedToken, PresentedToken, Token};
 
 #[test]
-fn a_token_authenticates_until_it_is_revoked_and_its_hash_does_not() {
+fn a_token_authenticates_until_it_is_revoked_and_its_record_does_not_contain_the_secret() {
     let IssuedToken { mut token, text } = Token::issue(Role::Operator, [7; 8], [9; 32], 1);
     let presented = PresentedToken::parse(&text).unwrap();
     assert_eq!(presented.id, token.id);
--- a/crates/tenancy/tests/usage.rs
+++ b/crates/tenancy/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of directors: when a deleted tenant's last session is over, and whose sessions are asked for.
+//! Usage reports of directors: when a tenant is drained, and whose sessions are requested.
 
 mod support;
 
@@ -18,31 +18,34 @@
 }
 
 #[test]
-fn a_tenant_is_drained_when_every_director_that_may_be_running_says_so() {
+fn a_tenant_is_drained_when_all_possibly_running_directors_report_no_session() {
     let tenant = id("a");
     let mut usage = UsageTracker::new(0, 60_000);
     assert!(
         !usage.is_drained(1_000, &tenant, 1),
-        "too early to know of any director"
+        "the tracker has not run long enough to know all directors"
     );
     usage.record(70_000, report(1, 9, &[("a", 1)])).unwrap();
     usage.record(70_000, report(2, 9, &[])).unwrap();
-    assert!(!usage.is_drained(70_001, &tenant, 9), "one holds a session");
+    assert!(
+        !usage.is_drained(70_001, &tenant, 9),
+        "director 1 holds a session"
+    );
     usage.record(71_000, report(1, 9, &[])).unwrap();
     assert!(usage.is_drained(71_001, &tenant, 9));
     assert!(
         !usage.is_drained(71_001, &tenant, 10),
-        "they don't know of the last change"
+        "the directors have not applied change 10"
     );
     usage.record(80_000, report(1, 10, &[])).unwrap();
     assert!(
         !usage.is_drained(80_001, &tenant, 10),
-        "director 2 is silent: it may serve what it knew"
+        "director 2 has not reported recently, and may still hold sessions"
     );
     usage.record(131_000, report(1, 10, &[])).unwrap();
     assert!(
         usage.is_drained(131_001, &tenant, 10),
-        "until it is taken for gone"
+        "director 2 is considered gone"
     );
     let expected = DirectorUsage {
         director: 1,
@@ -53,7 +56,7 @@
 }
 
 #[test]
-fn sessions_are_asked_for_while_somebody_wants_to_see_them() {
+fn sessions_are_requested_for_a_while_after_a_query() {
     let mut usage = UsageTracker::new(0, 60_000);
     let report_with = |sessions: BTreeMap<TenantId, Vec<ReportedSession>>| UsageReport {
         sessions,
@@ -65,7 +68,7 @@
     assert_eq!(
         usage.sessions_by_director(1_500, &id("a"))[0].sessions,
         None,
-        "not asked for yet"
+        "the sessions have not been requested yet"
     );
     let requested = usage.record(2_000, report_with(BTreeMap::new()));
     assert_eq!(requested, Ok(vec![id("a")]));
@@ -86,11 +89,11 @@
     assert_eq!(
         usage.sessions_by_director(3_400, &id("b"))[0].sessions,
         None,
-        "another's are not there"
+        "the report contains no sessions of tenant b"
     );
     assert_eq!(
         usage.record(20_000, report_with(BTreeMap::new())),
         Ok(nothing),
-        "nobody looks any more"
+        "the request has expired"
     );
 }
