--- a/crates/engine/benches/decisions.rs
+++ b/crates/engine/benches/decisions.rs
@@ -14,9 +14,10 @@
 
 const SECOND: TimeDelta = TimeDelta::from_secs(1);
 /// Time between two requests.
-const STEP: TimeDelta = TimeDelta::from_millis(30);
+const REQUEST_INTERVAL: TimeDelta = TimeDelta::from_millis(30);
 
-const TICK: u64 = u64::MAX;
+/// Token of the decision module's periodic timer.
+const TICK_TOKEN: u64 = u64::MAX;
 
 /// Creates a director that holds `count` sessions, all set up longer ago than it remembers set-ups, on links that are
 /// large enough for them.
@@ -82,7 +83,7 @@
             );
         }
     }
-    director.handle(now, Event::TimerFired(TICK), &mut actions);
+    director.handle(now, Event::TimerFired(TICK_TOKEN), &mut actions);
     (director, now)
 }
 
@@ -156,7 +157,7 @@
             &held,
             |b, _| {
                 b.iter(|| {
-                    (id, now) = (id + 1, now + STEP);
+                    (id, now) = (id + 1, now + REQUEST_INTERVAL);
                     black_box(run_one_session(
                         &mut director,
                         now,
@@ -170,7 +171,7 @@
             b.iter(|| {
                 now += TimeDelta::from_millis(200);
                 actions.clear();
-                director.handle(now, Event::TimerFired(TICK), &mut actions);
+                director.handle(now, Event::TimerFired(TICK_TOKEN), &mut actions);
                 black_box(actions.len())
             })
         });
@@ -210,7 +211,7 @@
             &count,
             |b, _| {
                 b.iter(|| {
-                    (id, now) = (id + 1, now + STEP);
+                    (id, now) = (id + 1, now + REQUEST_INTERVAL);
                     let tenant = (id % 10) as usize % count;
                     let request = Request {
                         tenant: Some(tenant),
@@ -267,7 +268,7 @@
             &held,
             |b, _| {
                 b.iter(|| {
-                    (id, at) = ((id + 7) % held.min(50_000), at + STEP);
+                    (id, at) = ((id + 7) % held.min(50_000), at + REQUEST_INTERVAL);
                     actions.clear();
                     director.handle(at, Event::MigrationRequested(SessionId(id)), &mut actions);
                     director.handle(
--- a/crates/engine/src/engine/recovery.rs
+++ b/crates/engine/src/engine/recovery.rs
@@ -15,7 +15,7 @@
 /// that nodes report.
 const EPOCH_MARGIN: u32 = 1_000;
 
-fn end_of(copy: &HeldCopy) -> EndKey {
+fn end_key_of(copy: &HeldCopy) -> EndKey {
     EndKey {
         server: copy.server,
         session: copy.session.session,
@@ -65,7 +65,7 @@
         if self.sessions.get(session).is_some() {
             return self.late_copy_reported(&copy);
         }
-        let is_ending = self.pending_ends.contains(end_of(&copy));
+        let is_ending = self.pending_ends.contains(end_key_of(&copy));
         if let Some(recovery) = &mut self.recovery
             && !is_ending
         {
@@ -120,7 +120,7 @@
         for (session, copies) in recovered.sessions {
             if !self.resume_session(session, &copies) {
                 for copy in &copies {
-                    self.require_end(end_of(copy), None);
+                    self.require_end(end_key_of(copy), None);
                 }
             }
         }
@@ -164,7 +164,7 @@
             if Some(copy.server) == target {
                 self.resume_target(copy.server, &copy.session);
             } else {
-                self.require_end(end_of(copy), Some(greatest));
+                self.require_end(end_key_of(copy), Some(greatest));
             }
         }
         self.drive_migration(session);
--- a/crates/engine/tests/migration/main.rs
+++ b/crates/engine/tests/migration/main.rs
@@ -145,7 +145,7 @@
         let mut simulation = Simulation::new(40, 0);
         simulation.request_sessions(24);
         simulation.frozen[3] = true; // this node does not report yet
-        let there: Vec<_> = simulation
+        let affected: Vec<_> = simulation
             .players
             .iter()
             .filter(|(_, p)| p.protocol.node().0 == 1)
@@ -164,7 +164,7 @@
                 .all(|p| p.protocol.node().0 != 1 && !p.ended),
             "{after} ms after"
         );
-        let gaps = there
+        let gaps = affected
             .iter()
             .flat_map(|id| simulation.players[id].gaps.clone());
         assert!(
@@ -216,12 +216,12 @@
                     simulation.restart_director(300 * MILLISECOND)
                 }
                 4 => {
-                    let one = simulation
+                    let first_playing = simulation
                         .players
                         .iter()
                         .find(|(_, p)| !p.ended)
                         .map(|(id, _)| *id);
-                    if let Some(session) = one {
+                    if let Some(session) = first_playing {
                         simulation.handle(Input::EndSession { session });
                         simulation.players.get_mut(&session).unwrap().ended = true;
                     }
@@ -326,14 +326,14 @@
     simulation.set_endpoint_state(1, EndpointState::Draining);
     simulation.set_endpoint_state(2, EndpointState::Draining);
     simulation.set_endpoint_state(0, EndpointState::Gone);
-    let one = *simulation
+    let first_playing = *simulation
         .players
         .iter()
         .find(|(_, p)| p.protocol.node().0 == 3)
         .expect("a player at node 3")
         .0;
     let full = NodeEvent::LoadReported {
-        session: one,
+        session: first_playing,
         delivered_fraction: None,
         link_utilization: Some(0.88),
         uplink_utilization: None,
@@ -342,20 +342,20 @@
         server: ServerId(3),
         event: full,
     });
-    let (three, all) = (at(&simulation, 3), simulation.players.len());
+    let (at_node_3_before, all) = (at(&simulation, 3), simulation.players.len());
     simulation.run_for(600 * MILLISECOND);
     simulation.crash(1);
     simulation.crash(2);
     simulation.run_for(6 * SECOND);
-    let stayed = simulation.players.values().filter(|p| !p.ended).count();
+    let remaining = simulation.players.values().filter(|p| !p.ended).count();
     assert_eq!(
-        stayed,
+        remaining,
         at(&simulation, 3),
         "all remaining sessions play at the node with capacity"
     );
     assert!(
-        stayed > three && stayed < all,
-        "{three} played at node 3 before, {stayed} of {all} play now"
+        remaining > at_node_3_before && remaining < all,
+        "{at_node_3_before} played at node 3 before, {remaining} of {all} play now"
     );
     assert_eq!(simulation.gaps(), [], "a remaining session had a gap");
     simulation.assert_settled();
--- a/crates/engine/tests/sessions/world.rs
+++ b/crates/engine/tests/sessions/world.rs
@@ -386,8 +386,8 @@
             1 if self.down.remove(&server) => self.connect_node(server),
             2 => {
                 // A session ends at its node.
-                let one = self.held[&server].iter().next().copied();
-                if let Some(SessionAttempt { session, attempt }) = one {
+                let first_held = self.held[&server].iter().next().copied();
+                if let Some(SessionAttempt { session, attempt }) = first_held {
                     self.held
                         .get_mut(&server)
                         .unwrap()
--- a/crates/migration/src/planner/node_state.rs
+++ b/crates/migration/src/planner/node_state.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a player's silence report is valid. Players repeat it while they receive no data.
-const SILENCE_REPORT_AGE: TimeDelta = TimeDelta::from_millis(500);
+const MAX_SILENCE_REPORT_AGE: TimeDelta = TimeDelta::from_millis(500);
 /// A node that delivers a smaller fraction of its sessions' rates has a shortage.
-const SHORTAGE_THRESHOLD: f64 = 0.95;
+const MIN_DELIVERED_FRACTION: f64 = 0.95;
 /// Interval between groups of migrations from a node with a shortage: the effect of one group must show before the
 /// next one starts.
 const SHORTAGE_STEP_INTERVAL: TimeDelta = TimeDelta::from_secs(3);
@@ -68,12 +68,12 @@
 
     pub fn expire_silence_reports(&mut self, now: Timestamp) {
         self.silence_reports
-            .retain(|_, report| now - report.received_at < SILENCE_REPORT_AGE);
+            .retain(|_, report| now - report.received_at < MAX_SILENCE_REPORT_AGE);
     }
 
     pub fn record_delivery(&mut self, now: Timestamp, delivered_fraction: f64) {
         self.delivered_fraction = delivered_fraction;
-        let is_short = delivered_fraction < SHORTAGE_THRESHOLD;
+        let is_short = delivered_fraction < MIN_DELIVERED_FRACTION;
         self.short_since = is_short.then(|| self.short_since.unwrap_or(now));
     }
 
--- a/crates/migration/tests/model/checker.rs
+++ b/crates/migration/tests/model/checker.rs
@@ -5,7 +5,7 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-pub const SERVED_WHERE_IT_IS: &str = "the node of the player serves its epoch";
+pub const PLAYER_IS_SERVED: &str = "the node of the player serves its epoch";
 const MIGRATION_HAPPENS: &str = "a migration happens";
 /// Number of rounds of deliveries and timeouts within which every migration has to end.
 const MAX_ROUNDS: usize = 12;
@@ -160,7 +160,7 @@
                 },
             ),
             // Holds unless that node has crashed.
-            Property::always(SERVED_WHERE_IT_IS, |_: &Bounds, state: &State| {
+            Property::always(PLAYER_IS_SERVED, |_: &Bounds, state: &State| {
                 let node = state.player.node();
                 let served = state.serving(node) >= Some(state.player.epoch());
                 state.has_crashed(node) || state.viewer_left || served
--- a/crates/migration/tests/model/main.rs
+++ b/crates/migration/tests/model/main.rs
@@ -9,7 +9,7 @@
 mod messages;
 mod state;
 
-use checker::{Bounds, ONE_MIGRATION, SERVED_WHERE_IT_IS, search};
+use checker::{Bounds, ONE_MIGRATION, PLAYER_IS_SERVED, search};
 use state::Fault;
 
 /// Searches the correct protocol: all properties must hold, in exactly `expected_states` states.
@@ -74,7 +74,7 @@
         ..ONE_MIGRATION
     });
     let violations = releases_early.violations;
-    assert!(violations.contains(&SERVED_WHERE_IT_IS), "{violations:?}");
+    assert!(violations.contains(&PLAYER_IS_SERVED), "{violations:?}");
     let ignores_cancel_outcome = search(Bounds {
         fault: Fault::IgnoresCancelOutcome,
         crashes: 1,
--- a/crates/migration/tests/model/state.rs
+++ b/crates/migration/tests/model/state.rs
@@ -12,8 +12,8 @@
 
 pub const SESSION: SessionId = SessionId(1);
 /// The model uses two times only: one before all deadlines, and one after them.
-const EARLY: Timestamp = Timestamp::ZERO;
-const LATE: Timestamp = Timestamp::from_micros(10_000_000);
+const BEFORE_DEADLINES: Timestamp = Timestamp::ZERO;
+const AFTER_DEADLINES: Timestamp = Timestamp::from_micros(10_000_000);
 /// Later than the model's clock ever gets, so that tickets do not expire.
 const TICKET_EXPIRES_AT: u64 = 100;
 /// Greater than the epoch of any migration in the model.
@@ -119,15 +119,16 @@
             Action::Deliver(message) => self.deliver(fault, message),
             Action::StartMigration(target) => {
                 self.migrations += 1;
-                self.coordinator.start(EARLY, target, LATE);
+                self.coordinator
+                    .start(BEFORE_DEADLINES, target, AFTER_DEADLINES);
                 self.send_outputs();
             }
             Action::Retry => {
-                self.coordinator.handle_timeout(EARLY);
+                self.coordinator.handle_timeout(BEFORE_DEADLINES);
                 self.send_outputs();
             }
             Action::GiveUp => {
-                self.coordinator.handle_timeout(LATE);
+                self.coordinator.handle_timeout(AFTER_DEADLINES);
                 self.send_outputs();
             }
             Action::CrashNode(node) => {
@@ -280,14 +281,15 @@
             .collect();
         // The new process detects which nodes are running.
         self.unnoticed_crash.fill(false);
-        if let Some(found) = MigrationCoordinator::recover(&reports, LATEST_EPOCH, EARLY) {
+        if let Some(found) = MigrationCoordinator::recover(&reports, LATEST_EPOCH, BEFORE_DEADLINES)
+        {
             self.coordinator = found;
             self.send_outputs();
         }
     }
 
     fn input(&mut self, input: Input) {
-        self.coordinator.handle(EARLY, input);
+        self.coordinator.handle(BEFORE_DEADLINES, input);
         self.send_outputs();
     }
 
--- a/crates/tenancy/src/admission/budget.rs
+++ b/crates/tenancy/src/admission/budget.rs
@@ -6,17 +6,17 @@
 use shalewall::Timestamp;
 
 /// Fraction of the director's capacity that only tenants within their quota may use.
-const RESERVE: f64 = 0.05;
+const RESERVE_FRACTION: f64 = 0.05;
 /// Maximum set-up debt of a tenant beyond its quota, in seconds of its quota.
 const MAX_DEBT_S: f64 = 8.0;
 /// Additional headroom that has to be free for a tenant with the maximum debt, as a fraction of the director's burst.
-const DEBT_HEADROOM: f64 = 0.5;
+const DEBT_HEADROOM_FRACTION: f64 = 0.5;
 /// Retry-After for a tenant at its own session limit, seconds: a quarter of the longest Retry-After.
 const SESSION_LIMIT_RETRY_S: f64 = 15.0;
 /// Retry-After if no session has ended recently, seconds.
 const UNKNOWN_RETRY_S: f64 = 1.0;
 /// Prevents a division by a rate of zero.
-const MIN_RATE: f64 = 1e-6;
+const MIN_RATE_PER_S: f64 = 1e-6;
 
 /// The capacity of a director.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -80,7 +80,7 @@
             self.limit.refill(now, limit_per_s);
             let missing = 1.0 - self.limit.level;
             if self.limit.level < 1.0 {
-                let wait_s = missing / limit_per_s.max(MIN_RATE);
+                let wait_s = missing / limit_per_s.max(MIN_RATE_PER_S);
                 return Err(Rejection::after_s(RejectionCause::TenantSetUpLimit, wait_s));
             }
         }
@@ -93,7 +93,7 @@
     }
 
     /// Its debt as a fraction of the maximum.
-    fn debt(&self, quota_per_s: f64) -> f64 {
+    fn debt_fraction(&self, quota_per_s: f64) -> f64 {
         (-self.quota.level / max_debt(quota_per_s)).clamp(0.0, 1.0)
     }
 
@@ -119,7 +119,7 @@
         let limit = if tenant.is_within_quota(quota) {
             self.capacity.sessions
         } else {
-            self.capacity.sessions * (1.0 - RESERVE) - quota.reserved_for_others
+            self.capacity.sessions * (1.0 - RESERVE_FRACTION) - quota.reserved_for_others
         };
         if self.held_sessions as f64 + 1.0 <= limit {
             return Ok(());
@@ -141,14 +141,15 @@
         let headroom = if tenant.quota.level >= 1.0 {
             f64::NEG_INFINITY
         } else {
-            burst_size(total_per_s) * (RESERVE + tenant.debt(quota_per_s) * DEBT_HEADROOM)
+            burst_size(total_per_s)
+                * (RESERVE_FRACTION + tenant.debt_fraction(quota_per_s) * DEBT_HEADROOM_FRACTION)
         };
         if self.free_set_ups.level - 1.0 >= headroom {
             return Ok(());
         }
-        let quota_wait_s = (1.0 - tenant.quota.level) / quota_per_s.max(MIN_RATE);
+        let quota_wait_s = (1.0 - tenant.quota.level) / quota_per_s.max(MIN_RATE_PER_S);
         let missing = headroom + 1.0 - self.free_set_ups.level;
-        let free_wait_s = missing / total_per_s.max(MIN_RATE);
+        let free_wait_s = missing / total_per_s.max(MIN_RATE_PER_S);
         let wait_s = quota_wait_s.min(free_wait_s.max(0.0));
         Err(Rejection::after_s(RejectionCause::SetUpQuota, wait_s))
     }
--- a/crates/tenancy/src/connections.rs
+++ b/crates/tenancy/src/connections.rs
@@ -22,7 +22,7 @@
 /// Fraction of the director's connections that may be unassigned.
 const UNASSIGNED_FRACTION: f64 = 0.25;
 /// Fraction of the rest that only tenants within their quota may use.
-const RESERVE: f64 = 0.05;
+const RESERVE_FRACTION: f64 = 0.05;
 /// Prevents a division by a quota of zero.
 const MIN_QUOTA: f64 = 1e-9;
 
@@ -243,7 +243,7 @@
         let limit = if is_within_quota {
             full
         } else {
-            (full * (1.0 - RESERVE)).max(1.0)
+            (full * (1.0 - RESERVE_FRACTION)).max(1.0)
         };
         let assigned = self.open.len() - self.unassigned;
         if assigned as f64 + 1.0 <= limit {
--- a/crates/tenancy/src/terms.rs
+++ b/crates/tenancy/src/terms.rs
@@ -7,8 +7,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What is agreed with a tenant.
+/// The terms that are agreed with a tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(description = "What is agreed with a tenant.")]
 #[serde(deny_unknown_fields)]
 pub struct Terms {
     /// The tenant's name, for people.
@@ -28,8 +29,11 @@
     /// Classes of request by name.
     #[schemars(extend("minProperties" = 1, "maxProperties" = 32))]
     pub classes: BTreeMap<String, Class>,
-    /// Titles by name: the tenant's own, whatever others call theirs.
-    #[schemars(extend("maxProperties" = 100000))]
+    /// The tenant's titles by name, in a namespace of its own.
+    #[schemars(
+    description = "Titles by name: the tenant's own, whatever others call theirs.",
+    extend("maxProperties" = 100000)
+    )]
     #[serde(default)]
     pub titles: BTreeMap<String, Title>,
     /// Limits of the tenant's usage.
@@ -64,7 +68,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Paid for at set-up: set up once.
+    /// Whether sessions are paid for at set-up, so that a set-up must be executed at most once.
+    #[schemars(description = "Paid for at set-up: set up once.")]
     pub paid: bool,
     /// Latency objective of a set-up.
     #[schemars(description = "", range(min = 1, max = 3600000))]
@@ -92,8 +97,9 @@
     pub session_limit_per_title: u32,
 }
 
-/// Cells that hold a title: `spread` in a row from `home` on.
+/// The cells that hold a title: `replica_cells` consecutive ones, starting with `first_cell`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
+#[schemars(description = "Cells that hold a title: `spread` in a row from `home` on.")]
 #[serde(deny_unknown_fields)]
 pub struct Title {
     /// The first cell that holds it.
@@ -121,8 +127,11 @@
     pub sessions: Option<u32>,
     /// Viewers' connections.
     pub connections: Option<u32>,
-    /// Bytes of a request's content, and of its head.
-    #[schemars(range(min = 1, max = 65536))]
+    /// Bytes of a request's content.
+    #[schemars(
+        description = "Bytes of a request's content, and of its head.",
+        range(min = 1, max = 65536)
+    )]
     pub body_bytes: Option<u32>,
     /// Bytes of a request's head.
     #[schemars(description = "", range(min = 256, max = 65536))]
--- a/crates/tenancy/tests/connections.rs
+++ b/crates/tenancy/tests/connections.rs
@@ -80,7 +80,7 @@
     }
     let mut evicted = Vec::new();
     for i in 0..150 {
-        let connection = connections.open().expect("there is room").id;
+        let connection = connections.open().expect("a connection is available").id;
         let assigned = connections.assign(connection, &id("quiet"));
         evicted.extend(assigned.unwrap_or_else(|error| panic!("{i}: {error:?}")));
         connections.mark_busy(connection);
@@ -106,7 +106,7 @@
         Err(AssignError::TenantLimit)
     );
     connections.mark_idle(first);
-    let third = connections.open().expect("there is room").id;
+    let third = connections.open().expect("a connection is available").id;
     assert_eq!(
         connections.assign(third, &id("loud")),
         Ok(Some(first)),
