--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -17,7 +17,7 @@
     /// The viewer's idempotency key. While a session with this key exists, another request with the same key gets that
     /// session's answer.
     pub viewer_key: String,
-    /// The tenant whose viewer this is.
+    /// The tenant of the viewer.
     pub tenant: Option<String>,
     /// Name of the class.
     pub class: String,
@@ -117,7 +117,7 @@
     pub attempt: u32,
     /// Hash of the viewer's key, as the director that set up the session computed it.
     pub viewer: u64,
-    /// The tenant whose viewer this is.
+    /// The tenant of the viewer.
     pub tenant: Option<String>,
     /// Name of its class.
     pub class: String,
--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -49,7 +49,7 @@
         attempt: u32,
         /// Hash of the viewer's key. The node stores it, so that a restarted director can recover the session.
         viewer: u64,
-        /// The tenant whose viewer this is.
+        /// The tenant of the viewer.
         tenant: Option<String>,
         /// Name of the class.
         class: String,
@@ -92,7 +92,7 @@
         from: ServerId,
         /// Hash of the viewer's key.
         viewer: u64,
-        /// The tenant whose viewer this is.
+        /// The tenant of the viewer.
         tenant: Option<String>,
         /// Name of the class.
         class: String,
