--- a/crates/engine/src/engine/ends.rs
+++ b/crates/engine/src/engine/ends.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The node has confirmed that it no longer holds the attempt, or can't be reached any more.
+    /// The node has confirmed that it no longer holds the attempt, or is no longer listed.
     pub(super) fn confirm_end(&mut self, key: EndKey) {
         let Some(end) = self.pending_ends.remove(key) else {
             return;
