--- a/crates/tenancy/src/terms.rs
+++ b/crates/tenancy/src/terms.rs
@@ -1,39 +1,50 @@
-//! What is agreed with a tenant.
+//! The terms that are agreed with a tenant.
 //!
-//! The doc comments of these types are part of the published JSON Schema, so they stay as they are, with its name for a
-//! director: front. A field with an empty `description` has none there, and its comment may change.
+//! The doc comments of these types are part of the published JSON Schema and must not change, unless the item has a
+//! `description` of its own. In the published schema, a director is called "front".
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What is agreed with a tenant.
+/// The terms that are agreed with a tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(description = "What is agreed with a tenant.")]
 #[serde(deny_unknown_fields)]
 pub struct Terms {
     /// The tenant's name, for people.
     #[schemars(description = "", length(min = 1, max = 128))]
     pub display_name: String,
-    /// Part of what a front and the pool can do, over the sum of all tenants' shares.
-    #[schemars(range(min = 0.001, max = 1000000.0))]
+    /// The tenant's weight for the capacity of a director and of the shared nodes, relative to the sum of all tenants'
+    /// shares.
+    #[schemars(
+        description = "Part of what a front and the pool can do, over the sum of all tenants' shares.",
+        range(min = 0.001, max = 1000000.0)
+    )]
     pub share: f64,
-    /// Nodes that the tenant's sessions may be set up on.
+    /// The nodes on which the tenant's sessions may be set up.
     #[schemars(description = "")]
     #[serde(default)]
     pub fleet: Fleet,
     /// Classes of request by name.
     #[schemars(extend("minProperties" = 1, "maxProperties" = 32))]
     pub classes: BTreeMap<String, Class>,
-    /// Titles by name: the tenant's own, whatever others call theirs.
-    #[schemars(extend("maxProperties" = 100000))]
+    /// The tenant's titles by name, in a namespace of its own.
+    #[schemars(
+    description = "Titles by name: the tenant's own, whatever others call theirs.",
+    extend("maxProperties" = 100000)
+    )]
     #[serde(default)]
     pub titles: BTreeMap<String, Title>,
-    /// What the tenant may use at most.
+    /// Limits of the tenant's usage.
     #[schemars(description = "")]
     #[serde(default)]
     pub limits: Limits,
-    /// When the tenant is deleted, what plays may go on for so long, seconds.
-    #[schemars(range(min = 0, max = 86400))]
+    /// How long playing sessions may continue after the tenant is deleted, seconds.
+    #[schemars(
+        description = "When the tenant is deleted, what plays may go on for so long, seconds.",
+        range(min = 0, max = 86400)
+    )]
     #[serde(rename = "ends_within_s", default = "one_hour_s")]
     pub deletion_grace_s: u32,
 }
@@ -57,17 +68,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Paid for at set-up: set up once.
+    /// Whether sessions are paid for at set-up, so that a set-up must be executed at most once.
+    #[schemars(description = "Paid for at set-up: set up once.")]
     pub paid: bool,
     /// Latency objective of a set-up.
     #[schemars(description = "", range(min = 1, max = 3600000))]
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u32,
-    /// A request that is not answered by then is given up.
+    /// Time after which a request that has not been answered fails.
     #[schemars(description = "", range(min = 1, max = 3600000))]
     #[serde(rename = "give_up_ms")]
     pub deadline_ms: u32,
-    /// Weight of a session of this class beside one of another class.
+    /// Weight of a session of this class relative to sessions of other classes.
     #[schemars(description = "", range(min = 0.0, max = 1000000.0))]
     #[serde(rename = "worth")]
     pub priority_weight: f64,
@@ -75,17 +87,19 @@
     #[schemars(description = "", range(max = 63))]
     #[serde(rename = "floor", default)]
     pub lowest_rung: u32,
-    /// The highest rung that a session may be given; absent: the site's highest.
+    /// The highest rung that a session may be given; by default the site's highest.
     #[schemars(description = "", range(max = 63))]
     #[serde(rename = "top")]
     pub highest_rung: Option<u32>,
-    /// Sessions of one title that a front may hold; 0: no limit.
+    /// Maximum number of sessions of one title that a director may hold; 0 means no limit.
+    #[schemars(description = "Sessions of one title that a front may hold; 0: no limit.")]
     #[serde(rename = "seats", default)]
     pub session_limit_per_title: u32,
 }
 
-/// Cells that hold a title: `spread` in a row from `home` on.
+/// The cells that hold a title: `replica_cells` consecutive ones, starting with `first_cell`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
+#[schemars(description = "Cells that hold a title: `spread` in a row from `home` on.")]
 #[serde(deny_unknown_fields)]
 pub struct Title {
     /// The first cell that holds it.
@@ -98,8 +112,12 @@
     pub replica_cells: u64,
 }
 
-/// What a tenant may use at most, whatever is free, at each front. Absent: no limit but the front's own.
+/// Limits of a tenant's usage at each director, which apply even if there is free capacity. A limit that is absent
+/// leaves only the director's own.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(
+    description = "What a tenant may use at most, whatever is free, at each front. Absent: no limit but the front's own."
+)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
     /// Set-ups a second.
@@ -109,8 +127,11 @@
     pub sessions: Option<u32>,
     /// Viewers' connections.
     pub connections: Option<u32>,
-    /// Bytes of a request's content, and of its head.
-    #[schemars(range(min = 1, max = 65536))]
+    /// Bytes of a request's content.
+    #[schemars(
+        description = "Bytes of a request's content, and of its head.",
+        range(min = 1, max = 65536)
+    )]
     pub body_bytes: Option<u32>,
     /// Bytes of a request's head.
     #[schemars(description = "", range(min = 256, max = 65536))]
