--- a/src/director.rs
+++ b/src/director.rs
@@ -10,9 +10,9 @@
 mod requests;
 
 use crate::interface::{Action, Event, ServerId, SessionId, Settings};
-use crate::policy::capacity_estimate::OWN_CHANGES_KEPT;
-use crate::policy::downgrades::RECONSIDER_AFTER;
-use crate::policy::health::STALL_MEMORY;
+use crate::policy::capacity_estimate::OWN_CHANGES_RETENTION;
+use crate::policy::downgrades::RECONSIDER_INTERVAL;
+use crate::policy::health::STALL_RECOVERY_TIME;
 use crate::policy::retries::INITIAL_SETUP_TIME_US;
 use crate::policy::timers::TICK_INTERVAL;
 use crate::state::attempts::{AttemptHistory, FinishedAttempt, SetupTime};
@@ -62,7 +62,7 @@
             settings,
             seed,
             started_at: now,
-            stalled_at: now - STALL_MEMORY,
+            stalled_at: now - STALL_RECOVERY_TIME,
             setup_time: SetupTime { mean_us: INITIAL_SETUP_TIME_US },
             ..Director::default()
         }
@@ -131,7 +131,7 @@
     }
 
     /// Enters a session, and counts its rate. Tenants without a quota are not told apart.
-    pub(crate) fn book_session(&mut self, mut session: ActiveSession) {
+    pub(crate) fn add_session(&mut self, mut session: ActiveSession) {
         let tenant = &mut session.pending.request.tenant;
         *tenant = tenant.filter(|tenant| self.settings.fleet_quota(*tenant).is_some());
         self.adjust_own_rate(session.server, session.rate_kb_s);
@@ -139,9 +139,9 @@
     }
 
     /// Enters the rung that a playing session has from now on.
-    pub(crate) fn book_rung(&mut self, id: SessionId, rung: usize) {
-        let is_bookable = |s: &&ActiveSession| s.is_playing() && rung < self.settings.ladder.len();
-        let Some(session) = self.sessions.get(id).filter(is_bookable) else { return };
+    pub(crate) fn apply_rung(&mut self, id: SessionId, rung: usize) {
+        let is_applicable = |s: &&ActiveSession| s.is_playing() && rung < self.settings.ladder.len();
+        let Some(session) = self.sessions.get(id).filter(is_applicable) else { return };
         let rate_kb_s = self.settings.rate(session.pending.request.class, rung);
         let server = session.server;
         let change = rate_kb_s - session.rate_kb_s;
@@ -156,7 +156,7 @@
     pub(crate) fn adjust_own_rate(&mut self, server: ServerId, kb_s: f64) {
         let now = self.now;
         let estimates = self.estimates_mut(server).into_iter().flatten();
-        estimates.for_each(|estimate| estimate.adjust_own_rate(now, kb_s, OWN_CHANGES_KEPT));
+        estimates.for_each(|estimate| estimate.adjust_own_rate(now, kb_s, OWN_CHANGES_RETENTION));
     }
 
     /// The estimates of a server's link and of its rack's uplink.
@@ -185,9 +185,9 @@
 
     /// Changes the rung of a playing session; it is not reconsidered for some time.
     pub(crate) fn change_rung(&mut self, session: SessionId, rung: usize) {
-        let reconsider_at = self.now + RECONSIDER_AFTER;
+        let reconsider_at = self.now + RECONSIDER_INTERVAL;
         self.sessions.update(session, |s| s.reconsider_at = reconsider_at);
-        self.book_rung(session, rung);
+        self.apply_rung(session, rung);
         self.actions.push(Action::SetRung { session, rung });
     }
 }
--- a/src/director/health_checks.rs
+++ b/src/director/health_checks.rs
@@ -23,7 +23,7 @@
 
     /// A health check is over: requests that waited for it alone are decided.
     pub(super) fn finish_health_check(&mut self, server: ServerId, outcome: Outcome) {
-        self.record_check(server, outcome);
+        self.record_health_check(server, outcome);
         for waiting in self.awaiting_checks.values_mut() {
             waiting.unanswered.retain(|unanswered| *unanswered != server);
         }
--- a/src/director/migrations.rs
+++ b/src/director/migrations.rs
@@ -3,7 +3,7 @@
 
 use super::Director;
 use crate::interface::{Action, Request, ServerId, SessionId};
-use crate::policy::downgrades::RECONSIDER_AFTER;
+use crate::policy::downgrades::RECONSIDER_INTERVAL;
 use crate::policy::retries::MAX_DEADLINE;
 use crate::state::records::Placement;
 use crate::state::sessions::{ActiveSession, PendingRequest, SessionState, placeholder_id};
@@ -22,7 +22,7 @@
         let pending = PendingRequest { attempts: 1, ..PendingRequest::already_at(server, request) };
         let state = SessionState::Playing;
         let reconsider_at = self.now;
-        self.book_session(ActiveSession { pending, state, server, rung, rate_kb_s, sent_at, reconsider_at });
+        self.add_session(ActiveSession { pending, state, server, rung, rate_kb_s, sent_at, reconsider_at });
     }
 
     /// Finds another holder for a playing session, like for a new one. Rates and seats count at both until it is known
@@ -47,8 +47,8 @@
         let rate_kb_s = self.settings.rate(request.class, rung);
         let state = SessionState::Closed;
         let sent_at = self.now;
-        let reconsider_at = sent_at + RECONSIDER_AFTER;
-        self.book_session(ActiveSession { pending, state, server, rung, rate_kb_s, sent_at, reconsider_at });
+        let reconsider_at = sent_at + RECONSIDER_INTERVAL;
+        self.add_session(ActiveSession { pending, state, server, rung, rate_kb_s, sent_at, reconsider_at });
         self.actions.push(Action::Migrate { session: id, server, rung });
     }
 
--- a/src/director/reports.rs
+++ b/src/director/reports.rs
@@ -14,7 +14,7 @@
     ) {
         match notification {
             Notification::DeliveredFraction(delivered) => self.record_delivery(server, delivered),
-            Notification::CurrentRung(rung) => self.book_rung(session, rung),
+            Notification::CurrentRung(rung) => self.apply_rung(session, rung),
             Notification::LinkUtilization(_) | Notification::UplinkUtilization(_) => {
                 self.record_utilization(session, server, notification);
             }
--- a/src/director/requests.rs
+++ b/src/director/requests.rs
@@ -47,10 +47,10 @@
         pending.tried.push(server);
         self.actions.push(Action::SetRung { session, rung });
         self.actions.push(Action::StartAttempt { session, server, attempt_timeout });
-        let reconsider_at = self.reconsider_placement_at(server);
+        let reconsider_at = self.initial_reconsider_at(server);
         let state = SessionState::AwaitingAnswer;
         let sent_at = self.now;
-        self.book_session(ActiveSession { pending, state, server, rung, rate_kb_s, sent_at, reconsider_at });
+        self.add_session(ActiveSession { pending, state, server, rung, rate_kb_s, sent_at, reconsider_at });
     }
 
     /// The session plays.
@@ -104,7 +104,7 @@
             let attempt = session.pending.attempts - 1;
             self.actions.push(Action::CancelAttempt { session: id, attempt });
         }
-        self.give_up(&request);
+        self.answer_at_deadline(&request);
         self.sessions.update(id, |session| session.state = SessionState::Closed);
     }
 }
--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -168,16 +168,16 @@
     }
 
     /// Whether this part of all viewers like the session's could have a rung at its server.
-    pub fn is_affordable(&self, session: &SessionRecord, rung: usize, part: f64) -> bool {
+    pub fn is_affordable(&self, session: &SessionRecord, rung: usize, fraction: f64) -> bool {
         let group = SessionGroup::of(session.session);
         let load_ratio = self.director.load_ratio(&self.director.servers[&session.server()]);
-        self.director.is_affordable(&group, rung, part, load_ratio)
+        self.director.is_affordable(&group, rung, fraction, load_ratio)
     }
 
     /// The rung that D(C0) gives the session at its server if it asks for this one.
-    pub fn choose_rung(&self, session: &SessionRecord, asked: usize) -> Option<usize> {
+    pub fn choose_rung(&self, session: &SessionRecord, preferred: usize) -> Option<usize> {
         let server = &self.director.servers[&session.server()];
         let lowest = self.director.settings.lowest_rung(session.request().class);
-        self.director.choose_rung(server, session.request(), lowest, asked, session.rate_kb_s())
+        self.director.choose_rung(server, session.request(), lowest, preferred, session.rate_kb_s())
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,11 +11,11 @@
 use crate::time::{TimeDelta, Timestamp};
 
 /// The mark C0: fraction of a link's capacity under which the asked rung is given (the design's default).
-pub(crate) const MARK: f64 = 0.85;
+pub(crate) const PREFERRED_RUNG_UTILIZATION_LIMIT: f64 = 0.85;
 /// Fraction that no set-up passes (the design's default): rates stray by some points.
-pub(crate) const FULL_LINE: f64 = 0.93;
+pub(crate) const UTILIZATION_LIMIT: f64 = 0.93;
 /// Standard deviations over the mean that an unreported link is taken for, but not for the lowest rung.
-const CAUTION: f64 = 0.7;
+const UNREPORTED_MARGIN_DEVIATIONS: f64 = 0.7;
 /// A crossing of zones weighs as much as a link fuller by its price times this.
 const ZONE_CROSSING_WEIGHT: f64 = 10.0;
 
@@ -42,12 +42,12 @@
     /// The holder with the least load, and the rung that its load allows.
     fn choose_placement(&self, pending: &PendingRequest) -> Option<Placement> {
         let lowest = self.settings.classes.get(pending.request.class)?.lowest_rung;
-        let asked = self.settings.highest_rung(&pending.request)?;
-        if asked < lowest || !self.allows_attempt(pending) {
+        let preferred = self.settings.highest_rung(&pending.request)?;
+        if preferred < lowest || !self.allows_attempt(pending) {
             return None;
         }
         self.candidates(pending).into_iter().find_map(|server| {
-            let rung = self.choose_rung(server, &pending.request, lowest, asked, 0.0)?;
+            let rung = self.choose_rung(server, &pending.request, lowest, preferred, 0.0)?;
             Some(Placement { server: server.endpoint.server, rung })
         })
     }
@@ -78,21 +78,28 @@
         server: &Server,
         request: &Request,
         lowest: usize,
-        asked: usize,
+        preferred: usize,
         current_kb_s: f64,
     ) -> Option<usize> {
-        let limit = self.quota_limit(request);
-        let added_kb_s = |rung| self.settings.rate(request.class, rung) - current_kb_s + limit.reserved_kb_s;
-        let mark = limit.line_scale * MARK * self.demand_scale(request, asked);
-        if self.fits(server, added_kb_s(asked), mark, CAUTION) {
-            return Some(asked);
+        let quota = self.quota_limit(request);
+        let added_kb_s = |rung| self.settings.rate(request.class, rung) - current_kb_s + quota.reserved_kb_s;
+        let preferred_limit =
+            quota.limit_scale * PREFERRED_RUNG_UTILIZATION_LIMIT * self.demand_scale(request, preferred);
+        if self.fits(server, added_kb_s(preferred), preferred_limit, UNREPORTED_MARGIN_DEVIATIONS) {
+            return Some(preferred);
         }
-        let full_line = limit.line_scale * FULL_LINE;
-        let mut lower = (lowest + 1..asked).rev();
+        let utilization_limit = quota.limit_scale * UTILIZATION_LIMIT;
+        let mut lower = (lowest + 1..preferred).rev();
         let highest_fitting = lower.find(|rung| {
-            self.fits(server, added_kb_s(*rung), full_line * self.demand_scale(request, *rung), CAUTION)
+            self.fits(
+                server,
+                added_kb_s(*rung),
+                utilization_limit * self.demand_scale(request, *rung),
+                UNREPORTED_MARGIN_DEVIATIONS,
+            )
         });
-        highest_fitting.or_else(|| self.fits(server, added_kb_s(lowest), full_line, 0.0).then_some(lowest))
+        highest_fitting
+            .or_else(|| self.fits(server, added_kb_s(lowest), utilization_limit, 0.0).then_some(lowest))
     }
 
     /// The mark answers demand (the paper's choice of C0), on each rung: one at which the viewers seen would
@@ -104,18 +111,18 @@
 
     /// Whether a rate fits under a line on both link and uplink. `caution`: standard deviations over the mean
     /// that an unreported one is taken for.
-    fn fits(&self, server: &Server, kb_s: f64, line: f64, caution: f64) -> bool {
+    fn fits(&self, server: &Server, kb_s: f64, limit: f64, margin_deviations: f64) -> bool {
         let uplink = self.uplink_of(server);
         let margin = |reported_at: Option<Timestamp>, deviation: f64| {
-            if reported_at.is_some() { 0.0 } else { caution * deviation }
+            if reported_at.is_some() { 0.0 } else { margin_deviations * deviation }
         };
         let link_margin = margin(server.link.reported_at, self.fleet_load.link.deviation);
         let link_added = link_margin + server.link.fraction(kb_s);
         let uplink_margin = margin(uplink.and_then(|u| u.reported_at), self.fleet_load.uplink.deviation);
         let uplink_added = uplink_margin + uplink.map_or(0.0, |u| u.fraction(kb_s));
         !server.shortage.is_short
-            && self.link_utilization(server) + link_added <= line
-            && self.uplink_utilization(server) + uplink_added <= line
+            && self.link_utilization(server) + link_added <= limit
+            && self.uplink_utilization(server) + uplink_added <= limit
     }
 
     /// What holders are ranked by: utilization of link and uplink, and the price of a crossing of zones.
--- a/src/policy/capacity_estimate.rs
+++ b/src/policy/capacity_estimate.rs
@@ -11,13 +11,13 @@
 use crate::time::{TimeDelta, Timestamp};
 
 /// Own rate changes are remembered so long, for reports that predate them.
-pub(crate) const OWN_CHANGES_KEPT: TimeDelta = TimeDelta::from_secs(5);
+pub(crate) const OWN_CHANGES_RETENTION: TimeDelta = TimeDelta::from_secs(5);
 /// What is presumed of the fleet weighs as much as so many reports or sessions.
 pub(crate) const PRIOR_WEIGHT: f64 = 2.0;
 /// Own sessions that the ladder's middle weighs as: a few own rates tell more.
 const PRIOR_RATE_WEIGHT: f64 = 0.5;
 /// An own set-up not yet reported stands for at most so many of other directors: weak evidence.
-const MAX_FEEDBACK: f64 = 4.0;
+const MAX_PEER_SETUPS_PER_OWN: f64 = 4.0;
 /// Weight of a report in an answer, noisy and of unknown age, against the belief.
 const ANSWER_WEIGHT: f64 = 0.4;
 /// Age of the figures in an answer: refresh and delay.
@@ -31,11 +31,12 @@
 
 impl FleetLoad {
     /// Believed utilization of a link; until a report comes, the others' part of it is taken for the mean.
-    fn believed_utilization(&self, estimate: &LinkEstimate, mean: f64) -> f64 {
+    fn estimated_utilization(&self, estimate: &LinkEstimate, mean: f64) -> f64 {
         if estimate.reported_at.is_none() {
             return mean * self.others_fraction + estimate.fraction(estimate.own_rate_kb_s);
         }
-        estimate.utilization + self.feedback * estimate.fraction(estimate.unreported_own_setups_kb_s())
+        estimate.utilization
+            + self.peer_setups_per_own * estimate.fraction(estimate.unreported_own_setups_kb_s())
     }
 }
 
@@ -63,23 +64,30 @@
         let links_kb_s: f64 = self.servers.values().map(|s| s.link.capacity_kb_s).sum();
         let uplinks_kb_s = self.settings.rack_count as f64 * self.settings.uplink_capacity_kb_s();
         let own_kb_s: f64 = self.servers.values().map(|s| s.link.own_rate_kb_s).sum();
-        let held = self.sessions.len() as f64;
+        let own_sessions = self.sessions.len() as f64;
         let middle_kb_s = self.settings.rate(0, self.settings.ladder.len() / 2);
         let presumed_kb_s = own_kb_s * directors;
         let link_reports = ReportSums::of(self.servers.values().map(|s| &s.link));
         let uplink_reports = ReportSums::of(self.uplinks.values());
         let link = pool_reports(link_reports, presumed_kb_s, links_kb_s);
         let uplink = pool_reports(uplink_reports, presumed_kb_s, uplinks_kb_s);
-        let usual_kb_s = (own_kb_s + PRIOR_RATE_WEIGHT * middle_kb_s) / (held + PRIOR_RATE_WEIGHT);
-        let asked_kb_s = if uplinks_kb_s > 0.0 { uplink.mean * uplinks_kb_s } else { link.mean * links_kb_s };
-        let reported = if usual_kb_s > 0.0 { asked_kb_s / usual_kb_s } else { held * directors };
+        let mean_session_kb_s =
+            (own_kb_s + PRIOR_RATE_WEIGHT * middle_kb_s) / (own_sessions + PRIOR_RATE_WEIGHT);
+        let requested_kb_s =
+            if uplinks_kb_s > 0.0 { uplink.mean * uplinks_kb_s } else { link.mean * links_kb_s };
+        let reported_sessions = if mean_session_kb_s > 0.0 {
+            requested_kb_s / mean_session_kb_s
+        } else {
+            own_sessions * directors
+        };
         // Reports lag behind a crowd: the others set up as many as this one. That is added and no factor,
         // since a director that has just restarted has no earlier sessions for a ratio.
         let lag_start = self.started_at.max(self.now - REPORT_LAG);
-        let sessions = reported + directors * count_after(&self.sessions.by_send_time, lag_start) as f64;
-        let feedback = (directors - 1.0) / (1.0 + (directors - 1.0) / MAX_FEEDBACK);
+        let sessions =
+            reported_sessions + directors * count_after(&self.sessions.by_send_time, lag_start) as f64;
+        let peer_setups_per_own = (directors - 1.0) / (1.0 + (directors - 1.0) / MAX_PEER_SETUPS_PER_OWN);
         let others_fraction = 1.0 - 1.0 / directors;
-        self.fleet_load = FleetLoad { link, uplink, sessions, others_fraction, feedback };
+        self.fleet_load = FleetLoad { link, uplink, sessions, others_fraction, peer_setups_per_own };
     }
 
     /// When a session that is transferred now began to play: at the director's start, even if the news of it
@@ -90,14 +98,14 @@
 
     /// Believed utilization of a server's link.
     pub(crate) fn link_utilization(&self, server: &Server) -> f64 {
-        self.fleet_load.believed_utilization(&server.link, self.fleet_load.link.mean)
+        self.fleet_load.estimated_utilization(&server.link, self.fleet_load.link.mean)
     }
 
     /// Believed utilization of the uplink of a server's rack; 0 where racks have none.
     pub(crate) fn uplink_utilization(&self, server: &Server) -> f64 {
         let Some(rack) = self.settings.rack_of_cell(server.endpoint.cell) else { return 0.0 };
         let mean = self.fleet_load.uplink.mean;
-        self.uplinks.get(&rack).map_or(mean, |uplink| self.fleet_load.believed_utilization(uplink, mean))
+        self.uplinks.get(&rack).map_or(mean, |uplink| self.fleet_load.estimated_utilization(uplink, mean))
     }
 
     /// Believed utilization of a server's link or uplink over the mean, whichever is more.
--- a/src/policy/demand.rs
+++ b/src/policy/demand.rs
@@ -1,7 +1,7 @@
 //! What all viewers would ask of the fleet: sessions held, viewers lately rejected, and arrivals to come, the
 //! other directors taken to see as much. Each rung's line in [`super::admission`] answers to it.
 
-use super::admission::FULL_LINE;
+use super::admission::UTILIZATION_LIMIT;
 use super::capacity_estimate::PRIOR_WEIGHT;
 use crate::director::Director;
 use crate::interface::{EndpointState, Request, Rung};
@@ -13,21 +13,21 @@
 use std::collections::BTreeMap;
 
 /// A rejected viewer still wants a session so long: most return sooner.
-const REJECTED_WANTS_FOR: TimeDelta = TimeDelta::from_secs(3);
+const REJECTED_VIEWER_RETENTION: TimeDelta = TimeDelta::from_secs(3);
 /// Arrivals are counted so long: what they will come to is demand.
-const ARRIVALS_SPAN: TimeDelta = TimeDelta::from_secs(30);
+const ARRIVALS_WINDOW: TimeDelta = TimeDelta::from_secs(30);
 /// A flow of arrivals goes on only if they came in the last of the span as well.
-const RECENT_ARRIVALS_SPAN: TimeDelta = TimeDelta::from_secs(5);
+const RECENT_ARRIVALS_WINDOW: TimeDelta = TimeDelta::from_secs(5);
 /// Arrivals are counted by steps of this, so that a crowd does not cost more to count.
 const ARRIVALS_STEP: TimeDelta = TimeDelta::from_secs(1);
 /// Time without arrivals presumed before the start, in seconds: a first viewer is no flow.
 const PRESUMED_IDLE_S: f64 = 2.0;
 /// A rung is chosen for so many seconds ahead: what is later can downgrade for it.
-const HORIZON_S: f64 = 40.0;
+const DEMAND_HORIZON_S: f64 = 40.0;
 /// Duration hints weigh as much as so many sessions that have ended as told.
 const DURATION_PRIOR_WEIGHT: f64 = 8.0;
 /// The weight of older sessions that have ended fades by this with each further one.
-const DURATION_FADE: f64 = 0.98;
+const DURATION_DECAY: f64 = 0.98;
 /// Where fewer viewers than this would be presumed for each class, none are.
 const MIN_PRIOR_PER_CLASS: f64 = 0.02;
 
@@ -41,7 +41,7 @@
 
     /// Counts a session that has ended by itself.
     pub(crate) fn record_end(&mut self, duration: TimeDelta, hint: Option<TimeDelta>) {
-        self.demand.ended.record(duration, hint, DURATION_FADE);
+        self.demand.ended.record(duration, hint, DURATION_DECAY);
     }
 
     /// Seconds that a session of this age has to go: by its hint, corrected by how hints have proved; without
@@ -63,15 +63,17 @@
     /// What `held` sessions will grow by, by class, if viewers go on coming as of late: their rate times
     /// their duration is what they come to (Little's law), and a part of it is there within the horizon.
     fn expected_growth(&mut self, held: f64) -> BTreeMap<usize, f64> {
-        let recent_start = self.now - RECENT_ARRIVALS_SPAN;
-        let totals = self.demand.arrivals.totals(self.now - ARRIVALS_SPAN, recent_start);
+        let recent_start = self.now - RECENT_ARRIVALS_WINDOW;
+        let totals = self.demand.arrivals.totals(self.now - ARRIVALS_WINDOW, recent_start);
         let observed_s = |span| (self.now - self.started_at).min(span).as_secs_f64() + PRESUMED_IDLE_S;
         // Few arrivals, as at each of hundreds of directors, are weak evidence: two standard deviations are
         // taken off. A crowd that is over is no flow either, so the recent rate bounds it.
-        let certain_part = 1.0 - 2.0 / totals.count.max(4.0).sqrt();
-        let recent_flow = totals.recent_seconds / observed_s(RECENT_ARRIVALS_SPAN);
-        let flow = f64::min(recent_flow, totals.seconds / observed_s(ARRIVALS_SPAN) * certain_part);
-        let added = (flow - held).max(0.0) * (HORIZON_S * totals.count / totals.seconds).min(1.0);
+        let confident_fraction = 1.0 - 2.0 / totals.count.max(4.0).sqrt();
+        let recent_offered_load = totals.recent_seconds / observed_s(RECENT_ARRIVALS_WINDOW);
+        let offered_load =
+            f64::min(recent_offered_load, totals.seconds / observed_s(ARRIVALS_WINDOW) * confident_fraction);
+        let added =
+            (offered_load - held).max(0.0) * (DEMAND_HORIZON_S * totals.count / totals.seconds).min(1.0);
         let mut growth = totals.seconds_by_class;
         growth.values_mut().for_each(|wanted| *wanted *= added / totals.seconds);
         growth
@@ -81,9 +83,9 @@
     /// would ask of its quota, if that is less.
     pub(crate) fn rung_demand(&self, class: usize, tenant: Option<usize>, rung: usize) -> Option<RungDemand> {
         let all = self.demand.rungs.get(&ClassRung { class, rung }).copied()?;
-        let Some(position) = self.tenant_position(tenant) else { return Some(all) };
-        let capacity_kb_s = position.quota * self.demand.capacity_kb_s;
-        let own = |kb_s: f64| position.sessions * kb_s * self.settings.directors() / capacity_kb_s;
+        let Some(status) = self.quota_status(tenant) else { return Some(all) };
+        let capacity_kb_s = status.quota * self.demand.capacity_kb_s;
+        let own = |kb_s: f64| status.sessions * kb_s * self.settings.directors() / capacity_kb_s;
         let own_below = rung.checked_sub(1).map_or(0.0, |below| own(self.settings.rate(class, below)));
         let own_with = own(self.settings.rate(class, rung));
         let without_rung = all.without_rung.min(own_below);
@@ -95,12 +97,12 @@
         &self,
         group: &SessionGroup,
         rung: usize,
-        part: f64,
+        fraction: f64,
         load_ratio: f64,
     ) -> bool {
         self.rung_demand(group.class, group.tenant, rung).is_some_and(|demand| {
-            let asked = demand.without_rung + part * (demand.with_rung - demand.without_rung);
-            asked * load_ratio <= 1.0
+            let requested = demand.without_rung + fraction * (demand.with_rung - demand.without_rung);
+            requested * load_ratio <= 1.0
         })
     }
 
@@ -108,7 +110,7 @@
     pub(crate) fn estimate_demand(&mut self) {
         self.estimate_fleet_load();
         let now = self.now;
-        self.demand.rejected.retain(|_, viewer| now - viewer.at < REJECTED_WANTS_FOR);
+        self.demand.rejected.retain(|_, viewer| now - viewer.at < REJECTED_VIEWER_RETENTION);
         let is_within_quota = |tenant: &usize| self.quota_debt(Some(*tenant)) == 0.0;
         self.demand.has_tenant_within_quota = self.sessions.by_tenant.keys().any(is_within_quota);
         let capacity_kb_s = self.usable_capacity_kb_s();
@@ -122,12 +124,12 @@
             let by_utility = b.utility_per_kb.total_cmp(&a.utility_per_kb);
             by_utility.then((a.at.rung, a.at.class).cmp(&(b.at.rung, b.at.class)))
         });
-        let mut asked = 0.0;
+        let mut requested = 0.0;
         for step in steps {
-            let with_rung = (asked + step.kb_s) / capacity_kb_s;
-            let demand = RungDemand { without_rung: asked / capacity_kb_s, with_rung };
+            let with_rung = (requested + step.kb_s) / capacity_kb_s;
+            let demand = RungDemand { without_rung: requested / capacity_kb_s, with_rung };
             self.demand.rungs.insert(step.at, demand);
-            asked += step.kb_s;
+            requested += step.kb_s;
         }
     }
 
@@ -141,13 +143,14 @@
         }
         let has_uplinks = self.settings.rack_count > 0;
         let uplink = Some(self.settings.rack_uplink_kb_s).filter(|kb_s| has_uplinks && *kb_s > 0.0);
-        FULL_LINE * links_by_rack.values().map(|links| links.min(uplink.unwrap_or(*links))).sum::<f64>()
+        UTILIZATION_LIMIT
+            * links_by_rack.values().map(|links| links.min(uplink.unwrap_or(*links))).sum::<f64>()
     }
 
     /// Viewers of each class seen here: those held, lately rejected and to come, and a presumed few.
     fn viewers_by_class(&mut self) -> BTreeMap<usize, f64> {
-        let wanting = self.sessions.len() as f64 + self.demand.rejected.len() as f64;
-        let mut viewers = self.expected_growth(wanting);
+        let current_viewers = self.sessions.len() as f64 + self.demand.rejected.len() as f64;
+        let mut viewers = self.expected_growth(current_viewers);
         for (class, held) in &self.sessions.by_class {
             *viewers.entry(*class).or_default() += *held as f64;
         }
@@ -170,16 +173,16 @@
         let seen = self.sessions.len() as f64 + PRIOR_WEIGHT;
         let mut steps = Vec::new();
         for (class, viewers) in viewers_by_class {
-            let Some(terms) = self.settings.classes.get(class) else { continue };
+            let Some(class_settings) = self.settings.classes.get(class) else { continue };
             let fleet_viewers = viewers / seen * self.fleet_load.sessions;
             let mut utility_per_kb = f64::INFINITY;
-            for rung in terms.lowest_rung..=terms.highest_rung {
+            for rung in class_settings.lowest_rung..=class_settings.highest_rung {
                 let Some(here) = self.settings.ladder.get(rung) else { break };
-                let is_lowest = rung <= terms.lowest_rung;
+                let is_lowest = rung <= class_settings.lowest_rung;
                 let below = if is_lowest { Rung::default() } else { self.settings.ladder[rung - 1] };
-                let kb_s = (here.rate_kb_s - below.rate_kb_s) * terms.rate_scale;
+                let kb_s = (here.rate_kb_s - below.rate_kb_s) * class_settings.rate_scale;
                 if kb_s > 0.0 {
-                    let added_utility = terms.priority_weight * (here.utility - below.utility);
+                    let added_utility = class_settings.priority_weight * (here.utility - below.utility);
                     utility_per_kb = utility_per_kb.min(added_utility / kb_s);
                 }
                 steps.push(RungStep {
--- a/src/policy/downgrades.rs
+++ b/src/policy/downgrades.rs
@@ -2,7 +2,7 @@
 //! capacity for a request that would be rejected. The tenant of the greatest quota debt goes first, then the
 //! least utility for the rate.
 
-use super::admission::FULL_LINE;
+use super::admission::UTILIZATION_LIMIT;
 use crate::director::Director;
 use crate::hash::draw;
 use crate::interface::{LoadReport, ServerId};
@@ -14,21 +14,21 @@
 use std::collections::BTreeSet;
 
 /// A server that delivers at least this fraction is not short.
-const FULL_DELIVERY: f64 = 0.98;
+const FULL_DELIVERY_FRACTION: f64 = 0.98;
 /// Downgrades aim at this fraction of what is delivered ...
-const RELIEF_TARGET: f64 = 0.97;
+const DELIVERY_TARGET: f64 = 0.97;
 /// ... and free so many times what is missing: shortage costs more than free capacity.
-const RELIEF_FACTOR: f64 = 2.0;
+const SHORTAGE_DOWNGRADE_FACTOR: f64 = 2.0;
 /// A server's sessions are downgraded again after this: it must show in the reports first.
-const RELIEF_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
+const SHORTAGE_DOWNGRADE_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
 /// A session whose rung was set may be reconsidered after this.
-pub(crate) const RECONSIDER_AFTER: TimeDelta = TimeDelta::from_secs(4);
+pub(crate) const RECONSIDER_INTERVAL: TimeDelta = TimeDelta::from_secs(4);
 
 impl Director {
     /// When the rung of a new session may be reconsidered: at once where nothing was known of its link.
-    pub(crate) fn reconsider_placement_at(&self, server: ServerId) -> Timestamp {
+    pub(crate) fn initial_reconsider_at(&self, server: ServerId) -> Timestamp {
         let is_unreported = self.servers.get(&server).is_some_and(|s| s.link.reported_at.is_none());
-        self.now + if is_unreported { TimeDelta::ZERO } else { RECONSIDER_AFTER }
+        self.now + if is_unreported { TimeDelta::ZERO } else { RECONSIDER_INTERVAL }
     }
 
     /// Downgrades that groups at some servers may take, in the order in which they should.
@@ -59,21 +59,22 @@
     pub(crate) fn record_delivery(&mut self, id: ServerId, delivered: f64) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let shortage = &mut server.shortage;
-        if delivered >= FULL_DELIVERY {
+        if delivered >= FULL_DELIVERY_FRACTION {
             return shortage.clear();
         }
         // Where the link is not full the uplink falls short, and this tells how full it is.
-        let is_uplink_short = server.link.reported_at.is_some() && server.link.utilization < FULL_LINE;
+        let is_uplink_short =
+            server.link.reported_at.is_some() && server.link.utilization < UTILIZATION_LIMIT;
         let penalty = self.settings.stall_penalty;
-        shortage.lost_utility_s += (penalty * (FULL_DELIVERY - delivered)).clamp(0.0, 1.0);
+        shortage.lost_utility_s += (penalty * (FULL_DELIVERY_FRACTION - delivered)).clamp(0.0, 1.0);
         shortage.is_short = true;
         shortage.reported_at = self.now;
-        let is_paused = shortage.relieved_at.is_some_and(|at| self.now - at < RELIEF_INTERVAL);
+        let is_paused = shortage.downgraded_at.is_some_and(|at| self.now - at < SHORTAGE_DOWNGRADE_INTERVAL);
         let is_lasting = shortage.lost_utility_s >= self.settings.rung_change_cost_s;
         if penalty > 0.0 && is_lasting && !is_paused {
             shortage.lost_utility_s = 0.0;
-            shortage.relieved_at = Some(self.now);
-            self.relieve(id, delivered);
+            shortage.downgraded_at = Some(self.now);
+            self.downgrade_for_shortage(id, delivered);
         }
         let uplink_utilization = is_uplink_short.then_some(1.0 / delivered);
         let report = LoadReport { uplink_utilization, ..LoadReport::default() };
@@ -82,12 +83,12 @@
 
     /// A shortage, of link or uplink, has cost each session there as much as a change of rung does, so it
     /// lasts. This director's sessions free their own part of what is missing.
-    fn relieve(&mut self, server: ServerId, delivered: f64) {
+    fn downgrade_for_shortage(&mut self, server: ServerId, delivered: f64) {
         let group_kb_s = |(group, sessions): (&SessionGroup, &SessionsByTime)| {
             self.settings.rate(group.class, group.rung) * sessions.len() as f64
         };
         let own_kb_s: f64 = self.sessions.groups_at(server).map(group_kb_s).sum();
-        let mut missing_kb_s = own_kb_s * (1.0 - delivered.max(0.0) / RELIEF_TARGET);
+        let mut missing_kb_s = own_kb_s * (1.0 - delivered.max(0.0) / DELIVERY_TARGET);
         let rung_below = |group: &SessionGroup| {
             group.rung.checked_sub(1).filter(|rung| *rung >= self.settings.lowest_rung(group.class))
         };
@@ -98,7 +99,7 @@
                 // Many directors hold one session each there: of the last downgrade only the needed part is
                 // taken, by draw, or all together would free several times what is missing.
                 let seed = self.seed ^ session.0 ^ self.now.as_micros() as u64;
-                if draw(seed) * freed_kb_s < RELIEF_FACTOR * missing_kb_s {
+                if draw(seed) * freed_kb_s < SHORTAGE_DOWNGRADE_FACTOR * missing_kb_s {
                     self.change_rung(session, rung);
                 }
                 missing_kb_s -= freed_kb_s;
@@ -135,7 +136,7 @@
         let duration_s = self.remaining_seconds(request, TimeDelta::ZERO);
         let limit = self.quota_limit(request);
         Some(CapacityNeed {
-            line: limit.line_scale * FULL_LINE,
+            utilization_limit: limit.limit_scale * UTILIZATION_LIMIT,
             kb_s: self.settings.rate(request.class, class.lowest_rung) + limit.reserved_kb_s,
             debt: self.quota_debt(request.tenant),
             gained_utility_s: class.priority_weight * utility * duration_s,
@@ -150,7 +151,7 @@
         seen_racks: &mut BTreeSet<u64>,
     ) -> Option<Vec<RungChange>> {
         let missing = |estimate: &LinkEstimate, utilization: f64| {
-            (utilization + estimate.fraction(need.kb_s) - need.line) * estimate.capacity_kb_s
+            (utilization + estimate.fraction(need.kb_s) - need.utilization_limit) * estimate.capacity_kb_s
         };
         let link_kb_s = missing(&server.link, self.link_utilization(server));
         let uplink = self.uplink_of(server);
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -7,17 +7,17 @@
 use crate::time::{TimeDelta, Timestamp};
 
 /// A failing server is tried again after this.
-const RETRIAL_BACKOFF: TimeDelta = TimeDelta::from_secs(1);
+const EJECTION_TIME: TimeDelta = TimeDelta::from_secs(1);
 /// That wait doubles with each further failure, at most so many times.
-const RETRIAL_BACKOFF_DOUBLINGS: u32 = 3;
+const MAX_EJECTION_TIME_DOUBLINGS: u32 = 3;
 /// A tick so much late was held up by this director's own process: a batch takes a few milliseconds.
-const STALL_DELAY: TimeDelta = TimeDelta::from_millis(300);
+const STALL_THRESHOLD: TimeDelta = TimeDelta::from_millis(300);
 /// No health checks so long after a stall: their answers would wait too.
-pub(crate) const STALL_MEMORY: TimeDelta = TimeDelta::from_secs(5);
+pub(crate) const STALL_RECOVERY_TIME: TimeDelta = TimeDelta::from_secs(5);
 
 /// How long a failing server is left alone.
-fn retrial_backoff(health: &Health) -> TimeDelta {
-    RETRIAL_BACKOFF * (1 << health.failures.saturating_sub(1).min(RETRIAL_BACKOFF_DOUBLINGS))
+fn ejection_time(health: &Health) -> TimeDelta {
+    EJECTION_TIME * (1 << health.failures.saturating_sub(1).min(MAX_EJECTION_TIME_DOUBLINGS))
 }
 
 impl Server {
@@ -33,7 +33,7 @@
 impl Director {
     /// Notes that this director's own process stood still, if the tick is long overdue.
     pub(crate) fn detect_stall(&mut self) {
-        if self.tick_due.is_some_and(|due| self.now - due > STALL_DELAY) {
+        if self.tick_due.is_some_and(|due| self.now - due > STALL_THRESHOLD) {
             self.stalled_at = self.now;
         }
     }
@@ -58,7 +58,7 @@
 
     /// Takes the outcome of a health check. Success shows that the process runs, not that it sets sessions
     /// up: it clears no failure.
-    pub(crate) fn record_check(&mut self, server: ServerId, outcome: Outcome) {
+    pub(crate) fn record_health_check(&mut self, server: ServerId, outcome: Outcome) {
         if outcome != Outcome::Success {
             self.record_outcome(server, outcome);
         }
@@ -85,13 +85,13 @@
         {
             return false;
         }
-        !server.health.is_failing() || self.allows_retrial(server, pending)
+        !server.health.is_failing() || self.allows_trial_attempt(server, pending)
     }
 
     /// A failing server is tried with what may be repeated only, one at a time, ever more rarely.
-    fn allows_retrial(&self, server: &Server, pending: &PendingRequest) -> bool {
+    fn allows_trial_attempt(&self, server: &Server, pending: &PendingRequest) -> bool {
         let is_repeatable = pending.is_set_up || self.settings.is_idempotent(pending.request.class);
-        let is_due = self.now - server.health.failed_at >= retrial_backoff(&server.health);
+        let is_due = self.now - server.health.failed_at >= ejection_time(&server.health);
         is_repeatable && is_due && !self.sessions.not_playing.contains_key(&server.endpoint.server)
     }
 }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -28,9 +28,10 @@
     /// Whether seats, attempts, deadline and retry budget allow another attempt.
     pub(crate) fn allows_attempt(&self, pending: &PendingRequest) -> bool {
         let request = &pending.request;
-        let seats = self.settings.classes.get(request.class).map_or(0, |class| class.session_limit_per_title);
+        let session_limit =
+            self.settings.classes.get(request.class).map_or(0, |class| class.session_limit_per_title);
         let held = self.sessions.by_title.get(&request.title).copied().unwrap_or(0);
-        if seats > 0 && held >= seats as usize {
+        if session_limit > 0 && held >= session_limit as usize {
             return false;
         }
         let limits = &self.settings.limits;
@@ -68,7 +69,7 @@
     }
 
     /// Answers a request whose time is up while its attempt is out: one that may run only once has failed.
-    pub(crate) fn give_up(&mut self, request: &Request) {
+    pub(crate) fn answer_at_deadline(&mut self, request: &Request) {
         if self.settings.is_idempotent(request.class) {
             self.reject(request);
         } else {
--- a/src/policy/upgrades.rs
+++ b/src/policy/upgrades.rs
@@ -4,7 +4,7 @@
 use crate::director::Director;
 use crate::hash::draw;
 use crate::interface::SessionId;
-use crate::state::records::UpgradeTerms;
+use crate::state::records::UpgradeContext;
 use crate::state::sessions::SessionGroup;
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
     pub(crate) fn find_upgrades(&self) -> BTreeMap<SessionId, usize> {
         let mut upgrades = BTreeMap::new();
         for (group, sessions) in &self.sessions.playing {
-            let Some(terms) = self.upgrade_terms(group) else { continue };
+            let Some(context) = self.upgrade_context(group) else { continue };
             for (_, id) in sessions.iter().take_while(|(reconsider_at, _)| *reconsider_at <= self.now) {
-                if let Some(rung) = self.find_upgrade(group, &terms, *id) {
+                if let Some(rung) = self.find_upgrade(group, &context, *id) {
                     upgrades.insert(*id, rung);
                 }
             }
@@ -24,7 +24,7 @@
     }
 
     /// None where no session of the group can be upgraded, so that they need not be looked at one by one.
-    fn upgrade_terms(&self, group: &SessionGroup) -> Option<UpgradeTerms<'_>> {
+    fn upgrade_context(&self, group: &SessionGroup) -> Option<UpgradeContext<'_>> {
         let server = self.servers.get(&group.server).filter(|server| !server.shortage.is_short)?;
         let class = self.settings.classes.get(group.class)?;
         let reported_at = server.link.reported_at?;
@@ -33,12 +33,12 @@
             return None;
         }
         let load_ratio = self.load_ratio(server);
-        let is_affordable = |rung, part| self.is_affordable(group, rung, part, load_ratio);
+        let is_affordable = |rung, fraction| self.is_affordable(group, rung, fraction, load_ratio);
         let mut higher = group.rung + 1..=highest_rung;
         let is_possible = higher.any(|rung| is_affordable(rung, 0.0) || is_affordable(rung, 1.0));
         let lowest_rung = class.lowest_rung;
         let current_kb_s = self.settings.rate(group.class, group.rung);
-        is_possible.then_some(UpgradeTerms {
+        is_possible.then_some(UpgradeContext {
             server,
             reported_at,
             lowest_rung,
@@ -49,15 +49,16 @@
     }
 
     /// The rung that a session is to be upgraded to.
-    fn find_upgrade(&self, group: &SessionGroup, terms: &UpgradeTerms, id: SessionId) -> Option<usize> {
-        let session = self.sessions.get(id).filter(|session| terms.reported_at >= session.sent_at)?;
+    fn find_upgrade(&self, group: &SessionGroup, context: &UpgradeContext, id: SessionId) -> Option<usize> {
+        let session = self.sessions.get(id).filter(|session| context.reported_at >= session.sent_at)?;
         let request = &session.pending.request;
         // All other directors decide theirs at the same time: what counts is not how full the link is now but
         // what all viewers there would ask at that rung. If only a part can have it, that part does, by draw.
-        let part = draw(id.0);
-        let mut higher = (group.rung + 1..=terms.highest_rung).rev();
-        let asked = higher.find(|rung| self.is_affordable(group, *rung, part, terms.load_ratio))?;
-        let rung = self.choose_rung(terms.server, request, terms.lowest_rung, asked, terms.current_kb_s)?;
+        let fraction = draw(id.0);
+        let mut higher = (group.rung + 1..=context.highest_rung).rev();
+        let preferred = higher.find(|rung| self.is_affordable(group, *rung, fraction, context.load_ratio))?;
+        let rung =
+            self.choose_rung(context.server, request, context.lowest_rung, preferred, context.current_kb_s)?;
         if rung <= group.rung {
             return None;
         }
--- a/src/state/demand.rs
+++ b/src/state/demand.rs
@@ -79,11 +79,11 @@
 
 impl EndedSessions {
     /// Takes a session's end; the earlier ones fade by the factor `fade`.
-    pub fn record(&mut self, duration: TimeDelta, hint: Option<TimeDelta>, fade: f64) {
+    pub fn record(&mut self, duration: TimeDelta, hint: Option<TimeDelta>, decay: f64) {
         let seconds = duration.as_secs_f64();
         let hint = hint.filter(|hint| *hint > TimeDelta::ZERO);
         let fraction = hint.map(|hint| seconds * 1e6 / hint.as_micros() as f64);
-        let add = |sum: &mut f64, added: f64| *sum = *sum * fade + added;
+        let add = |sum: &mut f64, added: f64| *sum = *sum * decay + added;
         add(&mut self.count, 1.0);
         add(&mut self.seconds, seconds);
         add(&mut self.hinted, if fraction.is_some() { 1.0 } else { 0.0 });
--- a/src/state/fleet_load.rs
+++ b/src/state/fleet_load.rs
@@ -20,7 +20,7 @@
     /// Fraction of all sessions that other directors hold.
     pub others_fraction: f64,
     /// Set-ups of other directors that an own one stands for, until a report shows them.
-    pub feedback: f64,
+    pub peer_setups_per_own: f64,
 }
 
 /// Sums over the utilization of reported links.
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -33,7 +33,7 @@
 }
 
 /// What a tenant holds here, and what is its own.
-pub(crate) struct TenantPosition {
+pub(crate) struct QuotaStatus {
     /// Sessions held here.
     pub sessions: f64,
     /// Its fraction of the rates that tenants hold here; the other directors are taken to hold alike.
@@ -45,7 +45,7 @@
 /// What is closed to a request for its tenant's debt.
 pub(crate) struct QuotaLimit {
     /// Every line is lower by this factor.
-    pub line_scale: f64,
+    pub limit_scale: f64,
     /// Capacity to leave free beside its own, kB a second.
     pub reserved_kb_s: f64,
 }
@@ -62,7 +62,7 @@
 /// A request that lacks capacity.
 pub(crate) struct CapacityNeed {
     /// Highest utilization that the request's tenant may fill links to.
-    pub line: f64,
+    pub utilization_limit: f64,
     /// Rate that must fit under it, kB a second.
     pub kb_s: f64,
     /// Quota debt of the request's tenant.
@@ -79,7 +79,7 @@
 }
 
 /// What all sessions of a group may be upgraded under.
-pub(crate) struct UpgradeTerms<'a> {
+pub(crate) struct UpgradeContext<'a> {
     pub server: &'a Server,
     pub reported_at: Timestamp,
     pub lowest_rung: usize,
--- a/src/state/servers.rs
+++ b/src/state/servers.rs
@@ -36,7 +36,7 @@
     /// Utility that the shortage has cost each session so far, in seconds at full utility.
     pub lost_utility_s: f64,
     /// When sessions were last downgraded for it.
-    pub relieved_at: Option<Timestamp>,
+    pub downgraded_at: Option<Timestamp>,
 }
 
 impl Shortage {
