--- a/src/director.rs
+++ b/src/director.rs
@@ -1,7 +1,7 @@
-//! The director: a state machine that is fed events, with the time, and answers with actions.
+//! The director: a state machine that takes timestamped events and returns actions.
 //!
-//! This file owns the state and hands each event on; the files under `src/director` put one kind of event each into
-//! effect. Nothing is decided here: every decision and every tuned value is in a file under `src/policy`.
+//! This file owns the state and dispatches each event; the files under `src/director` apply one kind of event
+//! each. Decisions and tuned values are in `src/policy` alone.
 
 mod endpoints;
 mod health_checks;
@@ -27,17 +27,18 @@
 use health_checks::AwaitingChecks;
 use std::collections::BTreeMap;
 
-/// Token of the periodic timer; those of requests are session ids, below 2^52.
+/// Token of the periodic timer. Timers of requests use the session id, which is below 2^52.
 pub(crate) const TICK_TOKEN: u64 = u64::MAX;
 
-/// Decides for one front. Feed it every event in order, with the time.
+/// Decides for one director process. Pass it every event in order, with the time.
 #[derive(Default)]
 pub struct Director {
     pub(crate) settings: Settings,
     pub(crate) seed: u64,
     pub(crate) started_at: Timestamp,
-    /// Time of the event under way, and what is to be done for it.
+    /// Time of the event that is being handled.
     pub(crate) now: Timestamp,
+    /// Actions in response to it.
     pub(crate) actions: Vec<Action>,
     pub(crate) servers: BTreeMap<ServerId, Server>,
     /// Estimates of the racks' uplinks, by rack.
@@ -49,14 +50,14 @@
     pub(crate) demand: Demand,
     pub(crate) fleet_load: FleetLoad,
     endpoint_watch: EndpointWatch,
-    /// When the periodic timer was last found long overdue: this director's own process stood still.
+    /// When the periodic timer last fired long after it was due, which shows that this process was stalled.
     pub(crate) stalled_at: Timestamp,
-    /// When the periodic timer is due.
+    /// When the periodic timer is due; `None` before the first event.
     pub(crate) tick_due: Option<Timestamp>,
 }
 
 impl Director {
-    /// A director that knows nothing yet. `now` is the time of its start.
+    /// A director without endpoints or sessions. `now` is the time of its start.
     pub fn new(seed: u64, settings: Settings, now: Timestamp) -> Director {
         Director {
             settings,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions to `out`, in order of execution.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         if self.tick_due.is_none() {
@@ -130,7 +131,7 @@
         self.actions.push(Action::SetTimer { after, token: session.0 });
     }
 
-    /// Enters a session, and counts its rate. Tenants without a quota are not told apart.
+    /// Adds a session and counts its rate. A tenant without a quota is recorded as no tenant.
     pub(crate) fn add_session(&mut self, mut session: ActiveSession) {
         let tenant = &mut session.pending.request.tenant;
         *tenant = tenant.filter(|tenant| self.settings.fleet_quota(*tenant).is_some());
@@ -138,7 +139,8 @@
         self.sessions.insert(session);
     }
 
-    /// Enters the rung that a playing session has from now on.
+    /// Records a playing session's new rung and rate. Unknown rungs and sessions that do not play are
+    /// ignored.
     pub(crate) fn apply_rung(&mut self, id: SessionId, rung: usize) {
         let is_applicable = |s: &&ActiveSession| s.is_playing() && rung < self.settings.ladder.len();
         let Some(session) = self.sessions.get(id).filter(is_applicable) else { return };
@@ -152,14 +154,15 @@
         self.adjust_own_rate(server, change);
     }
 
-    /// Adds to the rate of this director's sessions at a server.
+    /// Adds `kb_s`, which may be negative, to the rate of this director's sessions at a server and on its
+    /// uplink.
     pub(crate) fn adjust_own_rate(&mut self, server: ServerId, kb_s: f64) {
         let now = self.now;
         let estimates = self.estimates_mut(server).into_iter().flatten();
         estimates.for_each(|estimate| estimate.adjust_own_rate(now, kb_s, OWN_CHANGES_RETENTION));
     }
 
-    /// The estimates of a server's link and of its rack's uplink.
+    /// The estimates of a server's link and of its rack's uplink, where they exist.
     pub(crate) fn estimates_mut(&mut self, server: ServerId) -> [Option<&mut LinkEstimate>; 2] {
         let Some(server) = self.servers.get_mut(&server) else { return [None, None] };
         let rack = self.settings.rack_of_cell(server.endpoint.cell);
@@ -169,12 +172,12 @@
         [Some(&mut server.link), uplink]
     }
 
-    /// The estimate of the uplink of a server's rack.
+    /// The estimate of the uplink of a server's rack; `None` until a session or a report has created it.
     pub(crate) fn uplink_of(&self, server: &Server) -> Option<&LinkEstimate> {
         self.uplinks.get(&self.settings.rack_of_cell(server.endpoint.cell)?)
     }
 
-    /// The server, and with a rack all servers of it.
+    /// The server itself and, if `rack` is given, all servers of that rack.
     pub(crate) fn servers_sharing(&self, server: &Server, rack: Option<u64>) -> Vec<ServerId> {
         let is_in_rack =
             |other: &Server| rack.is_some() && self.settings.rack_of_cell(other.endpoint.cell) == rack;
@@ -183,7 +186,7 @@
         servers.map(|other| other.endpoint.server).collect()
     }
 
-    /// Changes the rung of a playing session; it is not reconsidered for some time.
+    /// Changes the rung of a playing session, which is not reconsidered within [`RECONSIDER_INTERVAL`].
     pub(crate) fn change_rung(&mut self, session: SessionId, rung: usize) {
         let reconsider_at = self.now + RECONSIDER_INTERVAL;
         self.sessions.update(session, |s| s.reconsider_at = reconsider_at);
--- a/src/director/endpoints.rs
+++ b/src/director/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which servers there are, and how large their links are.
+//! The endpoint list: which servers exist, and the capacity of their links.
 
 use super::Director;
 use crate::interface::{Action, Endpoint, EndpointState, EndpointUpdate, ServerId};
@@ -6,7 +6,7 @@
 use crate::state::servers::Server;
 use crate::time::Timestamp;
 
-/// Whether the list comes by itself.
+/// The subscription to changes of the endpoint list.
 #[derive(Default)]
 pub(super) struct EndpointWatch {
     is_subscribed: bool,
@@ -14,7 +14,7 @@
 }
 
 impl Director {
-    /// Takes the list, or what has changed of it.
+    /// Applies a full endpoint list or its changes.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
         match update {
             EndpointUpdate::Failed => {
@@ -31,13 +31,14 @@
         for endpoint in endpoints {
             self.update_endpoint(endpoint);
         }
-        // What is gone is forgotten once nothing plays there.
+        // Servers that are gone are removed once they hold no sessions.
         let by_server = &self.sessions.by_server;
         self.servers.retain(|id, s| s.endpoint.state != EndpointState::Gone || by_server.contains_key(id));
         self.update_link_capacities();
     }
 
-    /// Takes one line of the list; a server that has started since is cold, and its past is void.
+    /// Applies one entry of the list. A later start time than recorded is a restart: it clears failures and
+    /// shortage, and the server warms up again.
     fn update_endpoint(&mut self, endpoint: Endpoint) {
         let warm_up = self.settings.rules.warm_up;
         let warm_at = endpoint.started_at.unwrap_or(self.now - warm_up) + warm_up;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Where the list must be asked for: subscribes, and again after a failure.
+    /// Subscribes to the list if the settings require it, and retries after a failure.
     pub(super) fn watch_endpoints(&mut self) {
         if !self.endpoint_watch.is_subscribed && self.is_subscription_due(self.endpoint_watch.requested_at) {
             self.endpoint_watch.requested_at = Some(self.now);
--- a/src/director/health_checks.rs
+++ b/src/director/health_checks.rs
@@ -1,19 +1,19 @@
-//! Requests that wait for health checks of the servers that may take them.
+//! Requests that wait for health checks of their candidate servers.
 
 use super::Director;
 use crate::interface::{Action, Outcome, ServerId, SessionId};
 use crate::policy::health_checks::CHECK_TIMEOUT;
 use crate::state::sessions::PendingRequest;
 
-/// A request that waits for health checks.
+/// A request that waits for health checks of its candidates.
 pub(super) struct AwaitingChecks {
     pending: PendingRequest,
-    /// Servers that have not answered yet.
+    /// Candidates whose checks are still pending.
     unanswered: Vec<ServerId>,
 }
 
 impl Director {
-    /// Sends the health checks; the request waits for them.
+    /// Sends the health checks and holds the request until they finish or [`CHECK_TIMEOUT`] has passed.
     pub(super) fn start_health_checks(&mut self, pending: PendingRequest, unanswered: Vec<ServerId>) {
         let session = pending.request.session;
         self.actions.extend(unanswered.iter().map(|server| Action::CheckHealth { server: *server }));
@@ -21,7 +21,7 @@
         self.awaiting_checks.insert(session, AwaitingChecks { pending, unanswered });
     }
 
-    /// A health check is over: requests that waited for it alone are decided.
+    /// Records a finished health check and decides the requests that waited for no other one.
     pub(super) fn finish_health_check(&mut self, server: ServerId, outcome: Outcome) {
         self.record_health_check(server, outcome);
         for waiting in self.awaiting_checks.values_mut() {
@@ -33,7 +33,7 @@
         ready.into_iter().for_each(|id| self.finish_waiting(id));
     }
 
-    /// The answers are in, or late: the request is decided on what is known.
+    /// Decides a waiting request on the reports that have arrived. Does nothing if the request does not wait.
     pub(super) fn finish_waiting(&mut self, id: SessionId) {
         let Some(waiting) = self.awaiting_checks.remove(&id) else { return };
         self.admit(waiting.pending);
--- a/src/director/migrations.rs
+++ b/src/director/migrations.rs
@@ -1,5 +1,6 @@
-//! Sessions that began elsewhere, and sessions that go elsewhere. Those that play when a director starts are transferred
-//! to it; a caller may ask for another holder for a session while it plays.
+//! Sessions that a director takes over, and sessions that migrate. Sessions that play when a director starts
+//! are transferred to it; a caller may request that a playing session migrates to another server that hosts
+//! its title.
 
 use super::Director;
 use crate::interface::{Action, Request, ServerId, SessionId};
@@ -9,13 +10,14 @@
 use crate::state::sessions::{ActiveSession, PendingRequest, SessionState, placeholder_id};
 
 impl Director {
-    /// Takes over a session that plays already.
+    /// Takes over a session that already plays. It is recorded at its class's lowest rung until a
+    /// notification gives the actual one.
     pub(super) fn adopt_session(&mut self, mut request: Request, server: ServerId) {
         if self.sessions.contains(request.session) {
             return;
         }
         let sent_at = self.presumed_send_time();
-        // Its duration hint counts from now on.
+        // The hint is the remaining duration, but the session's age counts from `sent_at`.
         request.duration_hint = request.duration_hint.map(|hint| hint + (self.now - sent_at));
         let rung = self.settings.lowest_rung(request.class);
         let rate_kb_s = self.settings.rate(request.class, rung);
@@ -25,8 +27,9 @@
         self.add_session(ActiveSession { pending, state, server, rung, rate_kb_s, sent_at, reconsider_at });
     }
 
-    /// Finds another holder for a playing session, like for a new one. Rates and seats count at both until it is known
-    /// where it plays.
+    /// Finds another server for a playing session by the rules for a new one. Until the migration finishes,
+    /// the session counts twice, at source and target: towards rates and towards the limit of sessions per
+    /// title.
     pub(super) fn start_migration(&mut self, id: SessionId) {
         let is_migrating = self.sessions.contains(placeholder_id(id));
         if is_migrating || !self.sessions.get(id).is_some_and(ActiveSession::is_playing) {
@@ -38,7 +41,8 @@
         let deadline = self.now + MAX_DEADLINE;
         let request = Request { duration_hint, deadline, ..session.pending.request };
         let mut pending = PendingRequest::already_at(session.server, request);
-        // The session is out meanwhile: its own seat is no hindrance, and it is not downgraded for itself.
+        // The session is removed during the search, so that it neither counts towards its own title's session
+        // limit nor is downgraded for its own migration.
         let found = self.place(&pending);
         self.sessions.insert(session);
         let Some(Placement { server, rung }) = found else { return };
@@ -52,7 +56,7 @@
         self.actions.push(Action::Migrate { session: id, server, rung });
     }
 
-    /// The session plays where it was to migrate to, or it stays.
+    /// Ends a migration: the session now plays at the target, or it stays at the source.
     pub(super) fn finish_migration(&mut self, id: SessionId, is_migrated: bool) {
         let Some(target) = self.sessions.remove(placeholder_id(id)) else { return };
         let Some(source) = is_migrated.then(|| self.sessions.remove(id)).flatten() else {
--- a/src/director/reports.rs
+++ b/src/director/reports.rs
@@ -1,11 +1,11 @@
-//! Reports and notifications of servers, taken into the estimates of their links.
+//! Load reports and notifications of servers, which update the estimates of their links.
 
 use super::Director;
 use crate::interface::{LoadReport, Notification, ServerId, SessionId};
 use crate::state::records::{ReportSource, ReportTrust};
 
 impl Director {
-    /// Takes what a server tells of a session.
+    /// Applies a server's notification about a session.
     pub(super) fn record_notification(
         &mut self,
         session: SessionId,
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Takes a session's notification of how full its link or uplink is.
+    /// Records a notification of link or uplink utilization. The first one after a session's set-up is fresh;
+    /// later ones come with the notification delay.
     pub(crate) fn record_utilization(&mut self, id: SessionId, server: ServerId, notification: Notification) {
         let mut report = LoadReport::default();
         match notification {
@@ -35,7 +36,7 @@
         self.record_load(server, report, if is_first { ReportSource::FirstNotification } else { later });
     }
 
-    /// Takes a load report on a server's link and uplink.
+    /// Records a load report on a server's link and uplink, weighted by its source.
     pub(crate) fn record_load(&mut self, server: ServerId, report: LoadReport, source: ReportSource) {
         let ReportTrust { age, weight } = self.report_trust(source);
         let now = self.now;
--- a/src/director/requests.rs
+++ b/src/director/requests.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival over its attempts to its final answer.
+//! The life cycle of a request, from its arrival through its attempts to its final answer.
 
 use super::Director;
 use crate::interface::{Action, Outcome, Request, ServerId, SessionId};
@@ -9,7 +9,7 @@
 use crate::time::TimeDelta;
 
 impl Director {
-    /// A viewer asks for a session.
+    /// Handles a viewer's request for a session: admits or rejects it, or sends health checks first.
     pub(super) fn receive_request(&mut self, mut request: Request) {
         let budget_window = self.settings.rules.retry_budget.map_or(TimeDelta::ZERO, |budget| budget.window);
         self.attempts.record_request(self.now, budget_window.max(self.settings.rules.overload_window));
@@ -18,7 +18,7 @@
         self.count_arrival(&request, is_returning || request.is_retry);
         self.estimate_demand();
         if self.sessions.contains(request.session) || self.awaiting_checks.contains_key(&request.session) {
-            return; // an id that is in use: its answer is under way
+            return; // The id is in use, and its request will get its own answer.
         }
         let pending = PendingRequest::new(request);
         let unreported = self.servers_to_check(&pending);
@@ -28,7 +28,7 @@
         self.start_health_checks(pending, unreported);
     }
 
-    /// Sends an attempt, and enters the session that awaits its answer.
+    /// Sends an attempt and records the session as awaiting its answer.
     pub(crate) fn start_attempt(
         &mut self,
         mut pending: PendingRequest,
@@ -53,7 +53,7 @@
         self.add_session(ActiveSession { pending, state, server, rung, rate_kb_s, sent_at, reconsider_at });
     }
 
-    /// The session plays.
+    /// Records that a session plays. Only the latest attempt changes the session's state.
     pub(super) fn record_start(
         &mut self,
         id: SessionId,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// An attempt is over: its server is judged, and a request that is still owed its answer goes on.
+    /// Handles the end of an attempt: updates the server's health, and retries or fails a request that has no
+    /// answer yet.
     pub(super) fn finish_attempt(&mut self, finished: FinishedAttempt) {
         let FinishedAttempt { session: id, attempts, outcome, is_answered } = finished;
         if self.sessions.get(id).is_none_or(|session| session.pending.attempts != attempts) {
@@ -92,13 +93,14 @@
         }
     }
 
-    /// Health checks are late, or the viewer's time is up: the final answer is due, whatever is still out.
+    /// Handles a session's timer. Decides a request whose health checks are late; gives the final answer if
+    /// the deadline is due, even while an attempt is in flight.
     pub(super) fn handle_deadline(&mut self, id: SessionId) {
         self.finish_waiting(id);
         let Some(session) = self.sessions.get(id).filter(|session| session.awaits_answer()) else { return };
         let request = session.pending.request;
         if self.now + self.settings.limits.min_batch_interval < request.deadline {
-            return; // the timer of health checks that were answered before
+            return; // The timer was for health checks that have finished before.
         }
         if self.settings.limits.can_cancel {
             let attempt = session.pending.attempts - 1;
--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -1,5 +1,5 @@
-//! A view of a director's records, for tests that compare its running counts and decisions with plain walks over all
-//! sessions. It is no part of the interface and may change at any time.
+//! A view of a director's state, for tests that compare its running counts and decisions with a full scan of
+//! all sessions. It is not part of the public interface and may change at any time.
 
 use crate::director::Director;
 use crate::hash::draw;
@@ -8,7 +8,7 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// The records of one director.
+/// The state of one director.
 pub struct Inspection<'a> {
     director: &'a Director,
 }
@@ -18,17 +18,17 @@
     session: &'a ActiveSession,
 }
 
-/// What a tenant's sessions hold.
+/// Running totals of a tenant's sessions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantRecord {
     /// Number of sessions.
     pub sessions: usize,
-    /// Their rates together, kB a second.
+    /// Sum of their rates, kB/s.
     pub rate_kb_s: f64,
 }
 
 impl SessionRecord<'_> {
-    /// The request that it came from.
+    /// The request that started it.
     pub fn request(&self) -> &Request {
         &self.session.pending.request
     }
@@ -48,7 +48,7 @@
         self.session.rung
     }
 
-    /// Its rate, kB a second.
+    /// Its rate, kB/s.
     pub fn rate_kb_s(&self) -> f64 {
         self.session.rate_kb_s
     }
@@ -58,12 +58,12 @@
         self.session.sent_at
     }
 
-    /// From when on its rung may be decided anew.
+    /// Earliest time at which its rung may be changed again.
     pub fn reconsider_at(&self) -> Timestamp {
         self.session.reconsider_at
     }
 
-    /// Whether an answer to its attempt is awaited.
+    /// Whether its attempt is still unanswered.
     pub fn awaits_answer(&self) -> bool {
         self.session.awaits_answer()
     }
@@ -108,13 +108,13 @@
         self.director.sessions.by_title.get(&title).copied().unwrap_or(0)
     }
 
-    /// Running sums of a tenant's sessions; none where it has none.
+    /// Running totals of a tenant's sessions; `None` if it has no sessions.
     pub fn tenant(&self, tenant: usize) -> Option<TenantRecord> {
         let usage = self.director.sessions.by_tenant.get(&tenant)?;
         Some(TenantRecord { sessions: usage.sessions, rate_kb_s: usage.rate_kb_s })
     }
 
-    /// Running sum of the rates of all sessions that have a tenant, kB a second.
+    /// Running sum of the rates of all sessions that have a tenant, kB/s.
     pub fn tenants_rate_kb_s(&self) -> f64 {
         self.director.sessions.tenants_rate_kb_s
     }
@@ -140,41 +140,42 @@
         self.director.sessions.not_playing.get(&server).copied().unwrap_or(0)
     }
 
-    /// Sessions that the index has as playing.
+    /// Number of sessions that the index lists as playing.
     pub fn count_playing(&self) -> usize {
         self.director.sessions.playing.values().map(|sessions| sessions.len()).sum()
     }
 
-    /// The upgrades that are due now, found by groups of sessions.
+    /// The upgrades that are due now, as the director finds them: by groups of sessions.
     pub fn upgrades(&self) -> BTreeMap<SessionId, usize> {
         self.director.find_upgrades()
     }
 
-    /// When a server's link was last reported; none where it was not, or the server is unknown or delivers short.
+    /// When a server's link was last reported. `None` if there is no current report, or if the server is
+    /// unknown or has a shortage.
     pub fn usable_report_at(&self, server: ServerId) -> Option<Timestamp> {
         let server = self.director.servers.get(&server).filter(|server| !server.shortage.is_short)?;
         server.link.reported_at
     }
 
-    /// Whether a server's rack has an uplink of which no report counts.
+    /// Whether a server's rack has an uplink without a current report.
     pub fn has_unreported_uplink(&self, server: ServerId) -> bool {
         let server = &self.director.servers[&server];
         self.director.uplink_of(server).is_some_and(|uplink| uplink.reported_at.is_none())
     }
 
-    /// The draw, from 0 to 1, by which a session takes part in what only a part can have.
+    /// The session's draw, from 0 to 1, which decides whether it is upgraded when only a fraction can be.
     pub fn upgrade_draw(&self, session: SessionId) -> f64 {
         draw(session.0)
     }
 
-    /// Whether this part of all viewers like the session's could have a rung at its server.
+    /// Whether a fraction of all viewers could have this rung at the session's server.
     pub fn is_affordable(&self, session: &SessionRecord, rung: usize, fraction: f64) -> bool {
         let group = SessionGroup::of(session.session);
         let load_ratio = self.director.load_ratio(&self.director.servers[&session.server()]);
         self.director.is_affordable(&group, rung, fraction, load_ratio)
     }
 
-    /// The rung that D(C0) gives the session at its server if it asks for this one.
+    /// The rung that the placement rule gives the session at its server for a preferred rung.
     pub fn choose_rung(&self, session: &SessionRecord, preferred: usize) -> Option<usize> {
         let server = &self.director.servers[&session.server()];
         let lowest = self.director.settings.lowest_rung(session.request().class);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,32 +1,34 @@
-//! What a director is given and what it answers: settings, events, actions, ids, outcomes.
+//! The public types of the decision module: settings, events, actions, ids and outcomes. There is no logic
+//! here.
 //!
-//! No logic lives here. Times are [`Timestamp`]s of the caller's clock, lengths of time are [`TimeDelta`]s, rates are
-//! kilobytes a second (`kb_s`), utilization is rates asked over capacity (1 is full), and utility is what a second of
-//! play is worth, 1 at the top of the ladder for a class of weight 1.
+//! Times are [`Timestamp`]s of the caller's clock and durations are [`TimeDelta`]s. Rates are in kilobytes
+//! per second (`kb_s`). Utilization is the sum of requested rates over capacity: 1 is full, and it may exceed
+//! 1. Utility is the value of one second of play: 1 at the top of the ladder for a class of weight 1.
 
 use crate::time::{TimeDelta, Timestamp};
 
-/// Microseconds of the caller's clock, or a number of them, where [`Timestamp`] and [`TimeDelta`] are not used yet.
+/// A time or a duration in microseconds, for code that does not use [`Timestamp`] and [`TimeDelta`] yet.
 pub type Micros = i64;
 
-/// A media server. The same at every director, and kept when its process restarts.
+/// A media server. All directors use the same id, and it does not change when the server restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
-/// One request for a session and the session that follows from it. Never used twice, and below 2^52.
+/// A request for a session, and the session that results from it. Unique, and below 2^52.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// What viewers ask for: a film, a feed, a walkthrough. The same title under two classes, or of two tenants, is two.
+/// What viewers request, such as a film or a live feed. The same content in two classes, or of two tenants,
+/// is two titles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TitleId(pub u64);
 
-/// Settings given once, at the start. An absent optional setting switches off what it governs.
+/// Settings that are given once, at the start. An absent optional setting disables its feature.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// This director's number, from 0.
+    /// This director's index, from 0.
     pub director_index: u32,
-    /// How many directors share the fleet.
+    /// Number of directors that share the fleet.
     pub director_count: u32,
     /// Index of this director's zone, if it is known.
     pub zone: Option<usize>,
@@ -36,77 +38,78 @@
     pub tenants: Vec<TenantSettings>,
     /// The ladder of rates, lowest first.
     pub ladder: Vec<Rung>,
-    /// Number of cells that titles are laid out over.
+    /// Number of cells that titles are distributed over. A server hosts the titles of its cell.
     pub cell_count: u64,
     /// Number of racks; a server's rack is its cell modulo this. 0: no rack uplinks.
     pub rack_count: u64,
-    /// Streams that a server runs at most, for each machine kind.
+    /// Maximum number of streams of a server, by machine kind.
     pub stream_capacity_by_kind: Vec<f64>,
-    /// Whether the listed weights say something of a server's size.
+    /// Whether the weights of the endpoint list are proportional to link capacity.
     pub weight_is_capacity: bool,
-    /// Link capacity for each unit of a server's weight, kB a second. 0: unknown.
+    /// Link capacity per unit of a server's weight, kB/s. 0: unknown.
     pub link_kb_s_per_weight: f64,
-    /// All links together at the start, kB a second. 0: unknown.
+    /// Capacity of all links together at the start, kB/s. 0: unknown.
     pub fleet_kb_s: f64,
-    /// Mean uplink capacity of a rack, kB a second. 0: unknown.
+    /// Mean uplink capacity of a rack, kB/s. 0: unknown.
     pub rack_uplink_kb_s: f64,
-    /// What a further viewer of a live title adds to a stream, as a fraction of its rate. 1: viewers share nothing.
+    /// Additional rate for each further viewer of a live title on the same stream, as a fraction of the
+    /// stream's rate. 1: viewers do not share streams.
     pub join_rate_fraction: f64,
-    /// How late notifications come.
+    /// Age of notifications on arrival.
     pub notification_delay: TimeDelta,
-    /// Time between utilization notifications of one server. 0: none come.
+    /// Interval between utilization notifications of one server. 0: there are none.
     pub notification_interval: TimeDelta,
-    /// Points of utility lost for each point of the rate that is not delivered. 0: unknown.
+    /// Fraction of utility lost per fraction of the rate that is not delivered. 0: unknown.
     pub stall_penalty: f64,
-    /// Cost of a change of rung while playing, in seconds of the session's utility.
+    /// Cost of changing the rung of a playing session, in seconds of the session's utility.
     pub rung_change_cost_s: f64,
-    /// What it costs if all sessions cross zones, as a fraction of all utility.
+    /// Cost if all sessions were served from another zone, as a fraction of all utility.
     pub zone_crossing_price: f64,
-    /// Weight of a request beyond its tenant's quota, as a fraction of its class's weight.
+    /// Weight of a request above its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// Figures of the rules that all directors keep.
+    /// Parameters of the rules that all directors follow.
     pub rules: RuleSettings,
-    /// What the site permits.
+    /// Limits that the site sets.
     pub limits: Limits,
-    /// True where the endpoint list must be polled or subscribed to.
+    /// Whether the director has to poll or subscribe to the endpoint list.
     pub must_poll_endpoints: bool,
 }
 
 /// One rung of the ladder.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rung {
-    /// Rate, kB a second.
+    /// Rate, kB/s.
     pub rate_kb_s: f64,
-    /// Utility of playing at it, 1 at the top.
+    /// Utility of a second at this rung, 1 at the top of the ladder.
     pub utility: f64,
 }
 
 /// Whether a set-up of a class may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be set up again without harm.
+    /// May be set up more than once without side effects.
     Idempotent,
-    /// Paid for at set-up, or not known to be repeatable: set up once.
+    /// Charged at set-up, or not known to be repeatable: must not be set up twice.
     #[default]
     AtMostOnce,
 }
 
-/// Terms of a request class.
+/// Settings of a request class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassSettings {
     /// Whether a set-up may be repeated.
     pub idempotency: Idempotency,
-    /// Wanted playing within this time.
+    /// Objective for the time from the request until it plays.
     pub latency_objective: TimeDelta,
     /// Utility of one second at a rung of utility 1.
     pub priority_weight: f64,
-    /// Rates of the class over those of the ladder.
+    /// Factor from the ladder's rates to those of the class.
     pub rate_scale: f64,
-    /// Lowest rung that may be set.
+    /// Lowest rung that its sessions may have.
     pub lowest_rung: usize,
-    /// Highest rung of the class.
+    /// Highest rung that its sessions may have.
     pub highest_rung: usize,
-    /// Sessions of one title that a director may hold. 0: no limit.
+    /// Maximum number of sessions of one title at one director. 0: no limit.
     pub session_limit_per_title: u32,
     /// The class's titles are live.
     pub is_live: bool,
@@ -115,58 +118,61 @@
 /// A tenant's quotas.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second, over all directors, within its quota. 0: no limit.
+    /// Requests per second within its quota, over all directors. 0: no limit.
     pub request_quota_per_s: f64,
-    /// Fraction of the fleet that is its own when all want theirs, from 0 to 1. 0: none is set.
+    /// Fraction of the fleet that is reserved for it when every tenant needs its quota, from 0 to 1. 0: no
+    /// quota.
     pub fleet_quota: f64,
 }
 
-/// Figures of the rules that all directors keep.
+/// Parameters of the rules that all directors follow.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RuleSettings {
-    /// A started server is warm after this at the latest.
+    /// Longest time that a server needs to warm up after its start.
     pub warm_up: TimeDelta,
-    /// It begins at this fraction of its capacity.
+    /// Capacity of a server that has just started, as a fraction of its full capacity.
     pub initial_capacity: f64,
-    /// It falls over at this multiple of its pace ...
+    /// A warming server fails when its set-ups in an overload window exceed the rate that it can sustain by
+    /// this factor.
     pub overload_factor: f64,
-    /// ... over this length of time.
+    /// Length of the window over which overload is measured.
     pub overload_window: TimeDelta,
-    /// An unsubscribed director that has not polled the endpoint list for this long is taken to know of its changes.
+    /// A director without a subscription that has not polled the endpoint list for this long is assumed to
+    /// know its changes.
     pub poll_deadline: TimeDelta,
-    /// Retries allowed in each window; absent: no limit.
+    /// Budget of retries; `None`: no limit.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// The budget of attempts beyond each request's first.
+/// The budget of retries: attempts after a request's first one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed in any window.
+    /// Retries allowed in a window regardless of traffic.
     pub base: f64,
-    /// Retries allowed on top for each request of the window.
+    /// Additional retries for each request in the window.
     pub per_request: f64,
     /// Length of the sliding window.
     pub window: TimeDelta,
 }
 
-/// What a site permits.
+/// Limits that a site sets.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Attempts for one request at most.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Servers may be sent health checks.
+    /// Whether health checks may be sent.
     pub can_check_health: bool,
-    /// What one health check for each request costs, as a fraction of all utility.
+    /// Cost of one health check per request, as a fraction of all utility.
     pub health_check_price: f64,
-    /// Longest advice on when to return that viewers honour. 0: advice is not passed on.
+    /// Longest Retry-After that viewers respect. 0: rejections carry none.
     pub max_retry_after: TimeDelta,
-    /// Smallest time between two batches of events.
+    /// Shortest interval between two batches of events.
     pub min_batch_interval: TimeDelta,
 }
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
     /// The server.
@@ -175,143 +181,143 @@
     pub zone: Option<usize>,
     /// Index of its machine kind, if it is one of the settings' kinds.
     pub machine_kind: Option<usize>,
-    /// The cell whose titles it holds.
+    /// The cell whose titles it hosts.
     pub cell: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
-    /// Its size in units of the fleet's choice; see [`Settings::weight_is_capacity`].
+    /// Its size in arbitrary units; see [`Settings::weight_is_capacity`].
     pub weight: f64,
-    /// Time of its last start; absent: long past.
+    /// Time of its last start; `None` if it is long past.
     pub started_at: Option<Timestamp>,
-    /// It takes requests of this fleet alone. 0: the one that all share.
+    /// The only fleet whose requests it accepts. 0: the shared fleet.
     pub fleet: u32,
 }
 
-/// What the endpoint list says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Keeps its sessions and takes no more.
+    /// Keeps its sessions and accepts no requests.
     Draining,
-    /// Is not there.
+    /// No longer exists.
     #[default]
     Gone,
 }
 
-/// How much of the endpoint list an event brings.
+/// Which part of the endpoint list an event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// The complete list as it is now.
+    /// The complete current list.
     Full,
-    /// The complete list as this director last held it; may be stale.
+    /// The complete list from this director's cache; may be stale.
     Cached,
-    /// Changed lines only.
+    /// Changed entries only.
     Delta,
-    /// A poll of the list failed or the subscription broke.
+    /// Nothing: a poll of the list failed or the subscription ended.
     Failed,
 }
 
 /// A viewer's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// The session that it asks for.
+    /// The requested session.
     pub session: SessionId,
-    /// Index of the class. One that the settings lack is rejected.
+    /// Index of the class. A request with an unknown class is rejected.
     pub class: usize,
     /// Index of the tenant, if it has one.
     pub tenant: Option<usize>,
-    /// The same when a viewer returns.
+    /// Identifies the viewer; equal in all requests of one viewer.
     pub viewer: u64,
     /// The title.
     pub title: TitleId,
-    /// The viewer waits until then.
+    /// Time until which the viewer waits for an answer.
     pub deadline: Timestamp,
-    /// Guess of the session's length.
+    /// Estimate of the session's duration.
     pub duration_hint: Option<TimeDelta>,
-    /// First cell that holds the title.
+    /// First cell that hosts the title.
     pub first_cell: u64,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that host it.
     pub replica_cells: u64,
     /// Highest rung that the viewer can use.
     pub highest_rung: usize,
-    /// Known to be a repeat of an earlier request.
+    /// Whether it is known to repeat an earlier request.
     pub is_retry: bool,
-    /// The fleet that it is for.
+    /// The fleet that has to serve it.
     pub fleet: u32,
 }
 
-/// Load figures that came with an answer; each may be missing.
+/// Load that a server reports with an answer; each figure is optional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Streams run or being set up.
+    /// Streams that run or are being set up.
     pub streams: Option<f64>,
-    /// Rates asked of the link over its capacity.
+    /// Utilization of its link.
     pub link_utilization: Option<f64>,
-    /// The same of the rack's uplink.
+    /// Utilization of its rack's uplink.
     pub uplink_utilization: Option<f64>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The session has played to its end, or the server answered.
+    /// The session played to its end, or the health check was answered.
     Success,
-    /// The server returned an error; may have run.
+    /// The server returned an error; the set-up may have run.
     Error,
-    /// The server rejected it uninspected; never ran.
+    /// The server rejected the attempt without processing it; the set-up did not run.
     Rejected,
-    /// No answer in time; may have run.
+    /// No answer in time; the set-up may have run.
     TimedOut,
-    /// No connection; never ran.
+    /// The connection could not be opened; the set-up did not run.
     ConnectionFailed,
-    /// The connection broke; may have run.
+    /// The connection was reset; the set-up may have run.
     ConnectionReset,
-    /// Cancelled; may have run.
+    /// Cancelled; the set-up may have run.
     Cancelled,
-    /// Never sent.
+    /// Not sent; the set-up did not run.
     NotSent,
 }
 
-/// What a server notifies of a session.
+/// A server's notification about a session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Notification {
-    /// Fraction of the rate that the server delivers.
+    /// Fraction of the session's rate that the server delivers.
     DeliveredFraction(f64),
-    /// The rung in force.
+    /// The session's current rung.
     CurrentRung(usize),
-    /// Rates asked of the server's link over its capacity.
+    /// Utilization of the server's link.
     LinkUtilization(f64),
-    /// Rates asked of its rack's uplink over that one's capacity.
+    /// Utilization of its rack's uplink.
     UplinkUtilization(f64),
 }
 
-/// What happens to a director.
+/// An input of a director.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or a part of it, has come.
+    /// The endpoint list, or a change of it, has arrived or has failed to arrive.
     EndpointsUpdated {
-        /// How much of the list it is.
+        /// Which part of the list it is.
         update: EndpointUpdate,
-        /// The lines; empty after a failure.
+        /// The entries; empty after a failure.
         endpoints: Vec<Endpoint>,
     },
-    /// A viewer asks for a session.
+    /// A viewer requests a session.
     RequestReceived(Request),
-    /// A session that already played at the start, on this server.
+    /// A session that already played on this server when the director started.
     SessionTransferred(Request, ServerId),
-    /// The session plays.
+    /// A session has started to play.
     SessionStarted {
         /// The session.
         session: SessionId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// Where it plays.
+        /// The server on which it plays.
         server: ServerId,
-        /// Time from the attempt to the first answer.
+        /// Time from sending the attempt to its first answer.
         setup_time: TimeDelta,
     },
-    /// An attempt, or the session that it began, has ended.
+    /// An attempt, or the session that it started, has ended.
     AttemptFinished {
         /// The session.
         session: SessionId,
@@ -321,57 +327,56 @@
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The request needs no further answer.
+        /// Whether the request already has its final answer.
         is_answered: bool,
-        /// Load that the server reported with it.
+        /// Load that the server reported with the result.
         load_report: LoadReport,
     },
-    /// A server tells something of a session.
+    /// A server has sent a notification about a session.
     Notified {
         /// The session.
         session: SessionId,
         /// Number of its attempt, from 0.
         attempt: u32,
-        /// The server that tells.
+        /// The server that sent it.
         server: ServerId,
-        /// What it tells.
+        /// Its content.
         notification: Notification,
     },
-    /// The viewer left, or the answer is overdue: none is awaited any more.
+    /// The viewer has left, or the answer is overdue: the request needs no answer any more.
     RequestWithdrawn(SessionId),
-    /// A timer that the director set, by its token.
+    /// The timer with this token, set by [`Action::SetTimer`], has fired.
     TimerFired(u64),
-    /// A health check is over.
+    /// A health check has finished.
     HealthCheckFinished {
-        /// The server checked.
+        /// The checked server.
         server: ServerId,
         /// How the check ended.
         outcome: Outcome,
-        /// Load that the server reported with it.
+        /// Load that the server reported with the result.
         load_report: LoadReport,
     },
-    /// Classes and tenants as they are from now on, in place of those of the settings. An index means the same
-    /// as long as a request or session that names it is under way.
+    /// Replaces the classes and tenants of the settings. An index must keep its meaning until every request
+    /// and session that uses it has ended.
     SettingsUpdated {
         /// All classes.
         classes: Vec<ClassSettings>,
         /// All tenants.
         tenants: Vec<TenantSettings>,
     },
-    /// A session is to migrate while it plays, if another server has capacity. Answered at once by
-    /// [`Action::Migrate`], or by nothing.
+    /// A playing session should migrate if another server has capacity. The response to this event contains
+    /// [`Action::Migrate`], or no action if there is no capacity.
     MigrationRequested(SessionId),
-    /// That migration is over: the session plays at the other server, or where it was. Until then it may be at
-    /// both.
+    /// The migration has finished. Until this event the session may be at both servers.
     MigrationFinished {
         /// The session.
         session: SessionId,
-        /// It plays at the other server.
+        /// Whether it plays at the target; otherwise it still plays at the source.
         migrated: bool,
     },
-    /// Players receive nothing from this server: its process has stopped or hangs.
+    /// Players receive no data from this server: its process has stopped or hangs.
     ServerSilent(ServerId),
-    /// A message of another director. This version takes no notice of any.
+    /// A message from another director. This version ignores it.
     PeerMessage {
         /// Number of the director that sent it.
         from: u32,
@@ -380,63 +385,63 @@
     },
 }
 
-/// What a director does.
+/// An output of a director, for its caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Set the session up at a server.
+    /// Send an attempt: set the session up at a server.
     StartAttempt {
-        /// The session; its rung was chosen by the [`Action::SetRung`] just before.
+        /// The session; the preceding [`Action::SetRung`] has set its rung.
         session: SessionId,
-        /// Where.
+        /// The server to set it up at.
         server: ServerId,
-        /// Bounds the wait for an answer; absent: as long as the viewer waits.
+        /// Longest wait for an answer; `None`: until the viewer's deadline.
         attempt_timeout: Option<TimeDelta>,
     },
-    /// Choose the rung: before an attempt, or while it plays.
+    /// Set the rung, before an attempt or while the session plays.
     SetRung {
         /// The session.
         session: SessionId,
-        /// Its rung from now on.
+        /// Its new rung.
         rung: usize,
     },
-    /// Final answer: rejected. The viewer may return.
+    /// Final answer: rejected. The viewer may try again.
     Reject {
-        /// The session that was asked for.
+        /// The requested session.
         session: SessionId,
-        /// Advice to return after this; absent: none is given.
+        /// Retry-After for the viewer; `None`: no advice.
         retry_after: Option<TimeDelta>,
     },
     /// Final answer: failed.
     Fail {
-        /// The session that was asked for.
+        /// The requested session.
         session: SessionId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
         /// The session.
         session: SessionId,
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// End a session that plays; its viewer returns.
+    /// End a playing session; its viewer will request it again.
     Redirect {
         /// The session.
         session: SessionId,
     },
-    /// Migrate a session that plays.
+    /// Migrate a playing session.
     Migrate {
         /// The session.
         session: SessionId,
-        /// Where to.
+        /// The target.
         server: ServerId,
-        /// Its rung there.
+        /// Its rung at the target.
         rung: usize,
     },
-    /// Set a timer; [`Event::TimerFired`] brings the token back.
+    /// Set a timer; [`Event::TimerFired`] returns its token.
     SetTimer {
-        /// When it fires, from now.
+        /// Delay until it fires.
         after: TimeDelta,
-        /// What it is known by.
+        /// Identifies the timer.
         token: u64,
     },
     /// Send a health check.
@@ -448,18 +453,18 @@
     PollEndpoints,
     /// Subscribe to changes of the endpoint list, or stop.
     WatchEndpoints(bool),
-    /// Close connections to a server that carry nothing.
+    /// Close the idle connections to a server.
     CloseIdleConnections {
         /// The server.
         server: ServerId,
     },
-    /// Send a message to another director, or to all.
+    /// Send a message to one or all other directors.
     SendToPeer {
-        /// Number of the director; absent: all.
+        /// Number of the receiver; `None`: all other directors.
         to: Option<u32>,
         /// Its content.
         body: Vec<u8>,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
-//! shalewall decides for a front of media servers with shared links: which server a session is set up on, at which
-//! rung of the ladder of rates, and when a request is rejected.
+//! shalewall is the decision logic of a load balancer for media servers with shared links: on which server a
+//! session is set up, at which rung of the ladder of rates, and when a request is rejected.
 //!
-//! A [`Director`] is fed events, with the time, and answers with actions. It keeps no clock, opens no connection and
-//! shares nothing; equal events give equal actions. Decisions are in `policy`, records in `state`; the types of the
-//! interface are all here.
+//! A [`Director`] takes timestamped events and returns actions. It reads no clock, does no I/O and shares no
+//! state, and it is deterministic: equal events give equal actions. Decisions are in `policy`, records in
+//! `state`; the public types are all exported here.
 //!
 //! ```
 //! use shalewall::{
-//!     Action, ClassSettings, Director, Endpoint, EndpointState, EndpointUpdate, Event, Idempotency, Limits, LoadReport,
-//!     Outcome, Request, Rung, ServerId, SessionId, Settings, TimeDelta, Timestamp, TitleId,
+//!     Action, ClassSettings, Director, Endpoint, EndpointState, EndpointUpdate, Event, Idempotency, Limits,
+//!     LoadReport, Outcome, Request, Rung, ServerId, SessionId, Settings, TimeDelta, Timestamp, TitleId,
 //! };
 //!
 //! let second = TimeDelta::from_secs(1);
@@ -16,8 +16,8 @@
 //! let settings = Settings {
 //!     director_count: 1,
 //!     classes: vec![ClassSettings {
-//!         idempotency: Idempotency::Idempotent, latency_objective: second, priority_weight: 1.0, rate_scale: 1.0, highest_rung: 1,
-//!         ..ClassSettings::default()
+//!         idempotency: Idempotency::Idempotent, latency_objective: second, priority_weight: 1.0,
+//!         rate_scale: 1.0, highest_rung: 1, ..ClassSettings::default()
 //!     }],
 //!     ladder: vec![Rung { rate_kb_s: 300.0, utility: 0.4 }, Rung { rate_kb_s: 900.0, utility: 1.0 }],
 //!     cell_count: 1,
@@ -28,9 +28,9 @@
 //! };
 //! let mut out = Vec::new();
 //! let mut director = Director::new(7, settings, start);
-//! let box_1 = ServerId(1);
+//! let server_1 = ServerId(1);
 //! director.handle(start, Event::EndpointsUpdated { update: EndpointUpdate::Full, endpoints: vec![Endpoint {
-//!     server: box_1, zone: None, machine_kind: None, cell: 0, state: EndpointState::Ready, weight: 1.0,
+//!     server: server_1, zone: None, machine_kind: None, cell: 0, state: EndpointState::Ready, weight: 1.0,
 //!     started_at: None,
 //!     fleet: 0,
 //! }] }, &mut out);
@@ -42,13 +42,13 @@
 //!     duration_hint: None, first_cell: 0, replica_cells: 1, highest_rung: 1, is_retry: false, fleet: 0,
 //! }), &mut out);
 //! assert!(out.contains(&Action::SetRung { session, rung: 1 }));
-//! assert!(out.iter().any(|a| matches!(a, Action::StartAttempt { server, .. } if *server == box_1)));
+//! assert!(out.iter().any(|a| matches!(a, Action::StartAttempt { server, .. } if *server == server_1)));
 //!
 //! out.clear();
 //! director.handle(start + second + TimeDelta::from_millis(80), Event::SessionStarted {
-//!     session, attempt: 0, server: box_1, setup_time: TimeDelta::from_millis(80) }, &mut out);
+//!     session, attempt: 0, server: server_1, setup_time: TimeDelta::from_millis(80) }, &mut out);
 //! director.handle(start + 30 * second, Event::AttemptFinished {
-//!     session, attempt: 0, server: box_1, outcome: Outcome::Success, is_answered: true,
+//!     session, attempt: 0, server: server_1, outcome: Outcome::Success, is_answered: true,
 //!     load_report: LoadReport::default() }, &mut out);
 //! assert!(!out.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })));
 //! ```
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,8 @@
-//! The decisions, one concern a file, and all tuned values, each beside what it tunes.
+//! All decisions of the director, one concern per file, with their tuned constants.
 //!
-//! Ordinary path: [`admission`] decides each request by D(C0). Every other file is a guard that a rule needs, an
-//! exception whose condition stands beside it, or an estimate that these read.
+//! [`admission`] holds the normal path: it places or rejects each request by estimated utilization. Every
+//! other file enforces a rule, handles an exception whose condition it documents, or computes an estimate
+//! that the others use.
 
 pub(crate) mod admission;
 pub(crate) mod capacity_estimate;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,7 @@
-//! The ordinary path, D(C0): a request goes to the holder of its title with the least load. It gets the
-//! highest rung that viewer and class allow while that fits under the mark C0, else the highest lower rung
-//! that fits under the full line, else it is rejected.
+//! The normal path of a request. It goes to the least loaded server that hosts its title. Its preferred rung
+//! is the highest one that viewer and class allow; it gets that while the utilization stays within
+//! [`PREFERRED_RUNG_UTILIZATION_LIMIT`], else the highest lower rung that stays within [`UTILIZATION_LIMIT`].
+//! If no server can take even the lowest rung, the request is rejected.
 
 use crate::director::Director;
 use crate::hash::{mix, tie_breaker};
@@ -10,17 +11,20 @@
 use crate::state::sessions::PendingRequest;
 use crate::time::{TimeDelta, Timestamp};
 
-/// The mark C0: fraction of a link's capacity under which the asked rung is given (the design's default).
+/// Highest utilization of a link at which a session gets its preferred rung. `C0` in the design, with its
+/// default.
 pub(crate) const PREFERRED_RUNG_UTILIZATION_LIMIT: f64 = 0.85;
-/// Fraction that no set-up passes (the design's default): rates stray by some points.
+/// Highest utilization up to which sessions are set up at any rung, the design's default. The rest absorbs
+/// actual rates that deviate by a few percent from nominal ones.
 pub(crate) const UTILIZATION_LIMIT: f64 = 0.93;
-/// Standard deviations over the mean that an unreported link is taken for, but not for the lowest rung.
+/// Margin on a link without a report, in standard deviations of the reported links. A session at the lowest
+/// rung needs no margin.
 const UNREPORTED_MARGIN_DEVIATIONS: f64 = 0.7;
-/// A crossing of zones weighs as much as a link fuller by its price times this.
+/// Utilization that is added to a server's load for a zone crossing, per unit of the crossing's price.
 const ZONE_CROSSING_WEIGHT: f64 = 10.0;
 
 impl Director {
-    /// Sets the session up where there is capacity, or rejects the request.
+    /// Sends an attempt to a server with capacity, or rejects the request.
     pub(crate) fn admit(&mut self, pending: PendingRequest) {
         match self.place(&pending) {
             Some(placement) => self.start_attempt(pending, placement),
@@ -31,7 +35,8 @@
         }
     }
 
-    /// Finds capacity; where there is none, frees some if the request is worth it.
+    /// Finds a server and a rung. If there is no capacity, frees some where the request's utility justifies
+    /// it.
     pub(crate) fn place(&mut self, pending: &PendingRequest) -> Option<Placement> {
         self.choose_placement(pending).or_else(|| {
             let is_freed = self.free_capacity(pending);
@@ -39,7 +44,7 @@
         })
     }
 
-    /// The holder with the least load, and the rung that its load allows.
+    /// The least loaded server that fits the request, and the rung that its utilization allows.
     fn choose_placement(&self, pending: &PendingRequest) -> Option<Placement> {
         let lowest = self.settings.classes.get(pending.request.class)?.lowest_rung;
         let preferred = self.settings.highest_rung(&pending.request)?;
@@ -52,7 +57,8 @@
         })
     }
 
-    /// Holders that may take the request, healthy ones first, then the least load first.
+    /// Servers that host the title and are available to the request: healthy ones first, then by increasing
+    /// load.
     pub(crate) fn candidates(&self, pending: &PendingRequest) -> Vec<&Server> {
         let may_take = |server: &&Server| {
             self.settings.hosts_title(&server.endpoint, &pending.request)
@@ -71,8 +77,9 @@
         candidates.into_iter().map(|candidate| candidate.server).collect()
     }
 
-    /// D(C0): the asked rung under the mark, else the highest under the full line, else none.
-    /// `current_kb_s` is the rate that the session has there already.
+    /// The preferred rung if it fits within its utilization limit, else the highest lower one that fits
+    /// within [`UTILIZATION_LIMIT`]; `None` if not even the lowest fits. `current_kb_s` is the rate that the
+    /// session already has at this server.
     pub(crate) fn choose_rung(
         &self,
         server: &Server,
@@ -102,15 +109,15 @@
             .or_else(|| self.fits(server, added_kb_s(lowest), utilization_limit, 0.0).then_some(lowest))
     }
 
-    /// The mark answers demand (the paper's choice of C0), on each rung: one at which the viewers seen would
-    /// overfill the fleet is given only while the link is that much emptier.
+    /// Factor on the utilization limit for a rung. If giving the rung to all current viewers would exceed the
+    /// fleet's capacity, the limit is lowered by that excess, as in the design's choice of `C0`.
     fn demand_scale(&self, request: &Request, rung: usize) -> f64 {
         let demand = self.rung_demand(request.class, request.tenant, rung);
         1.0 / demand.map_or(1.0, |demand| demand.with_rung.max(1.0))
     }
 
-    /// Whether a rate fits under a line on both link and uplink. `caution`: standard deviations over the mean
-    /// that an unreported one is taken for.
+    /// Whether link and uplink stay within a utilization limit if this rate is added. For a link without a
+    /// report, `margin_deviations` standard deviations are added to the mean.
     fn fits(&self, server: &Server, kb_s: f64, limit: f64, margin_deviations: f64) -> bool {
         let uplink = self.uplink_of(server);
         let margin = |reported_at: Option<Timestamp>, deviation: f64| {
@@ -125,7 +132,8 @@
             && self.uplink_utilization(server) + uplink_added <= limit
     }
 
-    /// What holders are ranked by: utilization of link and uplink, and the price of a crossing of zones.
+    /// The load by which candidates are ranked: utilization of link and uplink, plus a penalty for a zone
+    /// crossing.
     fn placement_load(&self, server: &Server) -> f64 {
         let own_zone = self.settings.zone;
         let is_crossing =
@@ -135,10 +143,10 @@
         self.link_utilization(server) + self.uplink_utilization(server) + crossing
     }
 
-    /// Rejects a request, with advice when to return where viewers honour it.
+    /// Rejects a request, with a Retry-After if viewers respect one.
     pub(crate) fn reject(&mut self, request: &Request) {
         let longest = self.settings.limits.max_retry_after;
-        // Spread over the upper half of what viewers honour, so that they don't return as one crowd.
+        // Spread over the upper half of the allowed range, so that rejected viewers don't return all at once.
         let spread_permille = (mix(self.seed ^ request.session.0) % 1000) as i64;
         let is_advised = longest > TimeDelta::ZERO;
         let retry_after = is_advised.then(|| longest / 2 + longest / 2 * spread_permille / 1000);
--- a/src/policy/capacity_estimate.rs
+++ b/src/policy/capacity_estimate.rs
@@ -1,5 +1,5 @@
-//! How full links and uplinks are believed, one by one and over the fleet. A director takes its own sessions
-//! for a sample of the fleet; reports replace that, the more the more it hears.
+//! Estimates of the utilization of single links and uplinks and of the whole fleet. A director treats its own
+//! sessions as a sample of the fleet's; with more reports, their weight in the estimate grows.
 
 use crate::director::Director;
 use crate::interface::{Endpoint, Settings};
@@ -10,27 +10,31 @@
 use crate::state::sessions::count_after;
 use crate::time::{TimeDelta, Timestamp};
 
-/// Own rate changes are remembered so long, for reports that predate them.
+/// Retention time of own rate changes, which are added to reports measured before them.
 pub(crate) const OWN_CHANGES_RETENTION: TimeDelta = TimeDelta::from_secs(5);
-/// What is presumed of the fleet weighs as much as so many reports or sessions.
+/// Weight of the prior estimate of the fleet, in equivalent reports or sessions.
 pub(crate) const PRIOR_WEIGHT: f64 = 2.0;
-/// Own sessions that the ladder's middle weighs as: a few own rates tell more.
+/// Weight of the ladder's middle rung in the mean rate of a session, in equivalent own sessions. Low, since a
+/// few own sessions already give a better mean.
 const PRIOR_RATE_WEIGHT: f64 = 0.5;
-/// An own set-up not yet reported stands for at most so many of other directors: weak evidence.
+/// Upper bound of the other directors' set-ups that are assumed for each own unreported set-up, since a
+/// single set-up is weak evidence.
 const MAX_PEER_SETUPS_PER_OWN: f64 = 4.0;
-/// Weight of a report in an answer, noisy and of unknown age, against the belief.
+/// Weight of a report in an answer against the current estimate. Low, since it is noisy and of unknown age.
 const ANSWER_WEIGHT: f64 = 0.4;
-/// Age of the figures in an answer: refresh and delay.
+/// Assumed age of the figures in an answer: their refresh interval and the network delay.
 const ANSWER_AGE: TimeDelta = TimeDelta::from_millis(500);
-/// Weight of a notification of utilization: later, but without noise.
+/// Weight of a utilization notification against the current estimate. Higher than that of an answer: it comes
+/// later, but without noise.
 const NOTIFICATION_WEIGHT: f64 = 0.8;
-/// Evidence older than so many usual times between reports is forgotten.
+/// Reports expire after this many notification intervals, plus the notification delay.
 const EXPIRY_INTERVALS: i64 = 2;
-/// Reports lag by about so much.
+/// Approximate delay until reports show a set-up.
 const REPORT_LAG: TimeDelta = TimeDelta::from_secs(3);
 
 impl FleetLoad {
-    /// Believed utilization of a link; until a report comes, the others' part of it is taken for the mean.
+    /// Estimated utilization of a link. Without a report, the other directors' part is assumed to be the
+    /// mean.
     fn estimated_utilization(&self, estimate: &LinkEstimate, mean: f64) -> f64 {
         if estimate.reported_at.is_none() {
             return mean * self.others_fraction + estimate.fraction(estimate.own_rate_kb_s);
@@ -40,7 +44,8 @@
     }
 }
 
-/// A link's capacity: by weight where weights tell size, else the mean link shared out by streams.
+/// A link's capacity in kB/s: proportional to its weight if weights express capacity, else the mean link
+/// scaled by the machine kind's streams over their mean.
 pub(crate) fn link_capacity_kb_s(settings: &Settings, endpoint: &Endpoint, mean_streams: f64) -> f64 {
     let is_by_weight = settings.weight_is_capacity || mean_streams <= 0.0;
     let by_streams = settings.stream_capacity(endpoint.machine_kind) / mean_streams;
@@ -48,7 +53,8 @@
     if kb_s.is_finite() { kb_s.max(0.0) } else { 0.0 }
 }
 
-/// Mean and deviation of what is reported, shrunk towards this director's own rate times the directors.
+/// Mean and deviation of the reported utilization, shrunk towards a prior: this director's own rate times the
+/// number of directors.
 fn pool_reports(reports: ReportSums, presumed_kb_s: f64, capacity_kb_s: f64) -> Utilization {
     let ReportSums { sum, squares, count } = reports;
     let presumed = if capacity_kb_s > 0.0 { presumed_kb_s / capacity_kb_s } else { 0.0 };
@@ -58,7 +64,7 @@
 }
 
 impl Director {
-    /// Estimates the fleet's load from all evidence.
+    /// Updates the estimate of the fleet's load from reports and own sessions.
     pub(crate) fn estimate_fleet_load(&mut self) {
         let directors = self.settings.directors();
         let links_kb_s: f64 = self.servers.values().map(|s| s.link.capacity_kb_s).sum();
@@ -80,8 +86,9 @@
         } else {
             own_sessions * directors
         };
-        // Reports lag behind a crowd: the others set up as many as this one. That is added and no factor,
-        // since a director that has just restarted has no earlier sessions for a ratio.
+        // Reports lag behind a burst of requests, so each other director is assumed to have set up as many
+        // sessions recently as this one. They are added, not applied as a growth ratio, since a director that
+        // has just restarted has no earlier sessions to relate them to.
         let lag_start = self.started_at.max(self.now - REPORT_LAG);
         let sessions =
             reported_sessions + directors * count_after(&self.sessions.by_send_time, lag_start) as f64;
@@ -90,32 +97,32 @@
         self.fleet_load = FleetLoad { link, uplink, sessions, others_fraction, peer_setups_per_own };
     }
 
-    /// When a session that is transferred now began to play: at the director's start, even if the news of it
-    /// is a little late, so that it is no arrival since.
+    /// Presumed start of a session that is transferred now. Within [`REPORT_LAG`] of the director's start it
+    /// is that start, so that a transfer a little later does not count as a recent arrival.
     pub(crate) fn presumed_send_time(&self) -> Timestamp {
         if self.now - self.started_at < REPORT_LAG { self.started_at } else { self.now }
     }
 
-    /// Believed utilization of a server's link.
+    /// Estimated utilization of a server's link.
     pub(crate) fn link_utilization(&self, server: &Server) -> f64 {
         self.fleet_load.estimated_utilization(&server.link, self.fleet_load.link.mean)
     }
 
-    /// Believed utilization of the uplink of a server's rack; 0 where racks have none.
+    /// Estimated utilization of the uplink of a server's rack; 0 if racks have no uplinks.
     pub(crate) fn uplink_utilization(&self, server: &Server) -> f64 {
         let Some(rack) = self.settings.rack_of_cell(server.endpoint.cell) else { return 0.0 };
         let mean = self.fleet_load.uplink.mean;
         self.uplinks.get(&rack).map_or(mean, |uplink| self.fleet_load.estimated_utilization(uplink, mean))
     }
 
-    /// Believed utilization of a server's link or uplink over the mean, whichever is more.
+    /// Ratio of a server's utilization to the fleet's mean, for its link or its uplink, whichever is higher.
     pub(crate) fn load_ratio(&self, server: &Server) -> f64 {
         let ratio = |utilization: f64, mean: f64| if mean > 0.0 { utilization / mean } else { 1.0 };
         let link = ratio(self.link_utilization(server), self.fleet_load.link.mean);
         link.max(ratio(self.uplink_utilization(server), self.fleet_load.uplink.mean))
     }
 
-    /// How old a report is, and how much it weighs against the belief.
+    /// Assumed age of a report and its weight against the current estimate, by source.
     pub(crate) fn report_trust(&self, source: ReportSource) -> ReportTrust {
         let delay = self.settings.notification_delay;
         match source {
@@ -128,7 +135,8 @@
         }
     }
 
-    /// Missing evidence is not bad evidence: what no report has confirmed for long is forgotten.
+    /// Drops reports that have expired, so that a server is not avoided forever on an old report. Sessions
+    /// bring the reports, and a server that is avoided gets none.
     pub(crate) fn expire_reports(&mut self) {
         let interval = self.settings.notification_interval.max(TimeDelta::from_secs(1));
         let expiry = interval * EXPIRY_INTERVALS + self.settings.notification_delay;
--- a/src/policy/demand.rs
+++ b/src/policy/demand.rs
@@ -1,5 +1,6 @@
-//! What all viewers would ask of the fleet: sessions held, viewers lately rejected, and arrivals to come, the
-//! other directors taken to see as much. Each rung's line in [`super::admission`] answers to it.
+//! Estimates the demand on the fleet from active sessions, recently rejected viewers and expected arrivals,
+//! assuming that the other directors see the same. It scales the utilization limit of each rung in
+//! [`super::admission`].
 
 use super::admission::UTILIZATION_LIMIT;
 use super::capacity_estimate::PRIOR_WEIGHT;
@@ -12,40 +13,43 @@
 use crate::time::TimeDelta;
 use std::collections::BTreeMap;
 
-/// A rejected viewer still wants a session so long: most return sooner.
+/// Time for which a rejected viewer counts towards demand. Most return sooner.
 const REJECTED_VIEWER_RETENTION: TimeDelta = TimeDelta::from_secs(3);
-/// Arrivals are counted so long: what they will come to is demand.
+/// Window of arrivals from which future demand is estimated.
 const ARRIVALS_WINDOW: TimeDelta = TimeDelta::from_secs(30);
-/// A flow of arrivals goes on only if they came in the last of the span as well.
+/// Shorter window at the end of [`ARRIVALS_WINDOW`]. Its rate bounds the estimate, so that a burst that has
+/// ended does not count as lasting demand.
 const RECENT_ARRIVALS_WINDOW: TimeDelta = TimeDelta::from_secs(5);
-/// Arrivals are counted by steps of this, so that a crowd does not cost more to count.
+/// Arrivals are aggregated in steps of this length, so that the cost does not grow with their number.
 const ARRIVALS_STEP: TimeDelta = TimeDelta::from_secs(1);
-/// Time without arrivals presumed before the start, in seconds: a first viewer is no flow.
+/// Time without arrivals that is assumed before the start, in seconds, so that a first viewer is not
+/// extrapolated to a steady rate.
 const PRESUMED_IDLE_S: f64 = 2.0;
-/// A rung is chosen for so many seconds ahead: what is later can downgrade for it.
+/// How far ahead demand is estimated, in seconds. Sessions can be downgraded for demand that comes later.
 const DEMAND_HORIZON_S: f64 = 40.0;
-/// Duration hints weigh as much as so many sessions that have ended as told.
+/// Weight of the prior in estimates of durations, in equivalent ended sessions.
 const DURATION_PRIOR_WEIGHT: f64 = 8.0;
-/// The weight of older sessions that have ended fades by this with each further one.
+/// Factor by which the weight of earlier ended sessions decays with each further one.
 const DURATION_DECAY: f64 = 0.98;
-/// Where fewer viewers than this would be presumed for each class, none are.
+/// Smallest prior per class, in viewers; a smaller one is omitted.
 const MIN_PRIOR_PER_CLASS: f64 = 0.02;
 
 impl Director {
-    /// Counts a new viewer's request; one that returns was counted when it came first.
+    /// Counts the arrival of a new viewer. A returning viewer has been counted at the first request.
     pub(crate) fn count_arrival(&mut self, request: &Request, is_returning: bool) {
         let seconds = self.remaining_seconds(request, TimeDelta::ZERO);
         let step = self.now.round_down(ARRIVALS_STEP);
         self.demand.arrivals.record(step, request.class, seconds, !is_returning);
     }
 
-    /// Counts a session that has ended by itself.
+    /// Records the duration of a session that has played to its end.
     pub(crate) fn record_end(&mut self, duration: TimeDelta, hint: Option<TimeDelta>) {
         self.demand.ended.record(duration, hint, DURATION_DECAY);
     }
 
-    /// Seconds that a session of this age has to go: by its hint, corrected by how hints have proved; without
-    /// one by how long sessions lasted, and at first twice as long as the oldest has by now.
+    /// Expected remaining time of a session of this age, in seconds. Based on its duration hint, corrected by
+    /// the observed ratio of durations to hints; without a hint, on the mean duration of ended sessions, with
+    /// twice the age of the oldest active session as the prior.
     pub(crate) fn remaining_seconds(&self, request: &Request, age: TimeDelta) -> f64 {
         let ended = &self.demand.ended;
         let expected_s = if let Some(hint) = request.duration_hint {
@@ -60,14 +64,15 @@
         (expected_s - age.as_secs_f64()).max(0.0)
     }
 
-    /// What `held` sessions will grow by, by class, if viewers go on coming as of late: their rate times
-    /// their duration is what they come to (Little's law), and a part of it is there within the horizon.
+    /// Expected growth over `held` viewers within [`DEMAND_HORIZON_S`], by class, if arrivals continue at the
+    /// recent rate. By Little's law the number of sessions tends to the arrival rate times their mean
+    /// duration.
     fn expected_growth(&mut self, held: f64) -> BTreeMap<usize, f64> {
         let recent_start = self.now - RECENT_ARRIVALS_WINDOW;
         let totals = self.demand.arrivals.totals(self.now - ARRIVALS_WINDOW, recent_start);
         let observed_s = |span| (self.now - self.started_at).min(span).as_secs_f64() + PRESUMED_IDLE_S;
-        // Few arrivals, as at each of hundreds of directors, are weak evidence: two standard deviations are
-        // taken off. A crowd that is over is no flow either, so the recent rate bounds it.
+        // Few arrivals, as at each of hundreds of directors, are weak evidence, so two standard deviations
+        // are subtracted. The recent rate bounds the result, so that a burst that has ended does not count.
         let confident_fraction = 1.0 - 2.0 / totals.count.max(4.0).sqrt();
         let recent_offered_load = totals.recent_seconds / observed_s(RECENT_ARRIVALS_WINDOW);
         let offered_load =
@@ -79,8 +84,8 @@
         growth
     }
 
-    /// Demand for a rung. One tenant's demand is not the other's: for its sessions it is what they alone
-    /// would ask of its quota, if that is less.
+    /// Demand for a rung. For a tenant with a quota it is the demand of its own sessions on that quota, if
+    /// that is lower, so that one tenant's demand does not lower another's rungs.
     pub(crate) fn rung_demand(&self, class: usize, tenant: Option<usize>, rung: usize) -> Option<RungDemand> {
         let all = self.demand.rungs.get(&ClassRung { class, rung }).copied()?;
         let Some(status) = self.quota_status(tenant) else { return Some(all) };
@@ -92,7 +97,8 @@
         Some(RungDemand { without_rung, with_rung: all.with_rung.min(own_with) })
     }
 
-    /// Whether a part of all viewers, from 0 to 1, could have a rung where load over its mean is a ratio.
+    /// Whether the capacity suffices to give a rung to a fraction of all viewers, from 0 to 1, on a server
+    /// whose load is `load_ratio` times the mean.
     pub(crate) fn is_affordable(
         &self,
         group: &SessionGroup,
@@ -106,7 +112,8 @@
         })
     }
 
-    /// Estimates demand from what is seen here: rungs of the most utility for their rate are given first.
+    /// Updates the estimate of demand from this director's viewers. Rungs are counted in order of decreasing
+    /// utility per rate, the order in which they should be given.
     pub(crate) fn estimate_demand(&mut self) {
         self.estimate_fleet_load();
         let now = self.now;
@@ -133,7 +140,7 @@
         }
     }
 
-    /// What links and uplinks of ready and healthy servers give under the full line, kB a second.
+    /// Capacity of the links and uplinks of ready, healthy servers up to [`UTILIZATION_LIMIT`], kB/s.
     fn usable_capacity_kb_s(&self) -> f64 {
         let is_usable = |s: &&Server| s.endpoint.state == EndpointState::Ready && !s.health.is_failing();
         let mut links_by_rack: BTreeMap<Option<u64>, f64> = BTreeMap::new();
@@ -147,7 +154,8 @@
             * links_by_rack.values().map(|links| links.min(uplink.unwrap_or(*links))).sum::<f64>()
     }
 
-    /// Viewers of each class seen here: those held, lately rejected and to come, and a presumed few.
+    /// This director's viewers by class: active sessions, recently rejected viewers, expected arrivals and a
+    /// prior.
     fn viewers_by_class(&mut self) -> BTreeMap<usize, f64> {
         let current_viewers = self.sessions.len() as f64 + self.demand.rejected.len() as f64;
         let mut viewers = self.expected_growth(current_viewers);
@@ -159,15 +167,16 @@
         }
         let classes = self.settings.classes.len();
         let prior = PRIOR_WEIGHT / classes.max(1) as f64;
-        // Of few classes each may be asked for next; of thousands that a front hosts those seen are weighed.
+        // With few classes, any may be requested next. With thousands on a shared director, only those that
+        // have been seen count.
         if prior > MIN_PRIOR_PER_CLASS {
             (0..classes).for_each(|class| *viewers.entry(class).or_default() += prior);
         }
         viewers
     }
 
-    /// Each rung of each class for all of its viewers in the fleet; a rung counts as worth no more for its
-    /// rate than those below it.
+    /// Each rung of each class, with the rate that it adds for all of the class's viewers in the fleet. The
+    /// utility per rate of a rung is capped at that of the rungs below it, so that lower rungs sort first.
     fn rung_steps(&mut self) -> Vec<RungStep> {
         let viewers_by_class = self.viewers_by_class();
         let seen = self.sessions.len() as f64 + PRIOR_WEIGHT;
--- a/src/policy/downgrades.rs
+++ b/src/policy/downgrades.rs
@@ -1,6 +1,6 @@
-//! Exceptions: playing sessions go to lower rungs, to relieve a server that delivers short, or to free
-//! capacity for a request that would be rejected. The tenant of the greatest quota debt goes first, then the
-//! least utility for the rate.
+//! Exceptions: playing sessions are downgraded where a server has a shortage (delivers less than its
+//! sessions' rates), or to free capacity for a request that would be rejected. Sessions of the tenant with
+//! the highest quota debt are downgraded first, then those that lose the least utility per rate.
 
 use super::admission::UTILIZATION_LIMIT;
 use crate::director::Director;
@@ -13,25 +13,25 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeSet;
 
-/// A server that delivers at least this fraction is not short.
+/// Delivered fraction of the rate from which on a server has no shortage.
 const FULL_DELIVERY_FRACTION: f64 = 0.98;
-/// Downgrades aim at this fraction of what is delivered ...
+/// Downgrades for a shortage reduce the rates to this fraction of what the server delivers ...
 const DELIVERY_TARGET: f64 = 0.97;
-/// ... and free so many times what is missing: shortage costs more than free capacity.
+/// ... and free this multiple of the missing rate, since a shortage costs more than unused capacity.
 const SHORTAGE_DOWNGRADE_FACTOR: f64 = 2.0;
-/// A server's sessions are downgraded again after this: it must show in the reports first.
+/// Shortest time between downgrades for a shortage of one server: the effect must show in its reports first.
 const SHORTAGE_DOWNGRADE_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
-/// A session whose rung was set may be reconsidered after this.
+/// Shortest time between two changes of a session's rung.
 pub(crate) const RECONSIDER_INTERVAL: TimeDelta = TimeDelta::from_secs(4);
 
 impl Director {
-    /// When the rung of a new session may be reconsidered: at once where nothing was known of its link.
+    /// When the rung of a new session may first be reconsidered: at once if its link has no report yet.
     pub(crate) fn initial_reconsider_at(&self, server: ServerId) -> Timestamp {
         let is_unreported = self.servers.get(&server).is_some_and(|s| s.link.reported_at.is_none());
         self.now + if is_unreported { TimeDelta::ZERO } else { RECONSIDER_INTERVAL }
     }
 
-    /// Downgrades that groups at some servers may take, in the order in which they should.
+    /// Possible downgrades of the groups at these servers, in the order in which they should be applied.
     fn cheapest_downgrades(
         &self,
         servers: &[ServerId],
@@ -55,14 +55,16 @@
         downgrades
     }
 
-    /// Takes the fraction of its sessions' rates that a server delivers: each second while that is short.
+    /// Records the fraction of its sessions' rates that a server delivers. A server with a shortage reports
+    /// it each second.
     pub(crate) fn record_delivery(&mut self, id: ServerId, delivered: f64) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let shortage = &mut server.shortage;
         if delivered >= FULL_DELIVERY_FRACTION {
             return shortage.clear();
         }
-        // Where the link is not full the uplink falls short, and this tells how full it is.
+        // If the link is not full, the shortage is on the uplink, whose utilization follows from the
+        // fraction.
         let is_uplink_short =
             server.link.reported_at.is_some() && server.link.utilization < UTILIZATION_LIMIT;
         let penalty = self.settings.stall_penalty;
@@ -81,8 +83,8 @@
         self.record_load(id, report, ReportSource::Shortage);
     }
 
-    /// A shortage, of link or uplink, has cost each session there as much as a change of rung does, so it
-    /// lasts. This director's sessions free their own part of what is missing.
+    /// Downgrades this director's sessions at a server whose shortage has cost each of them as much utility
+    /// as a change of rung. They free their share of the missing rate; other directors do the same.
     fn downgrade_for_shortage(&mut self, server: ServerId, delivered: f64) {
         let group_kb_s = |(group, sessions): (&SessionGroup, &SessionsByTime)| {
             self.settings.rate(group.class, group.rung) * sessions.len() as f64
@@ -96,8 +98,9 @@
             let sessions = self.sessions.playing.get(&group).into_iter().flatten();
             let sessions: BTreeSet<_> = sessions.map(|(_, id)| *id).collect();
             for session in sessions {
-                // Many directors hold one session each there: of the last downgrade only the needed part is
-                // taken, by draw, or all together would free several times what is missing.
+                // If many directors have one session each at the server and all downgraded it, they would
+                // free several times the missing rate. So the last downgrade is applied with a probability
+                // that matches the part still needed.
                 let seed = self.seed ^ session.0 ^ self.now.as_micros() as u64;
                 if draw(seed) * freed_kb_s < SHORTAGE_DOWNGRADE_FACTOR * missing_kb_s {
                     self.change_rung(session, rung);
@@ -110,9 +113,10 @@
         }
     }
 
-    /// A request would be rejected for want of capacity, though this director's own sessions on a holder (or
-    /// under its rack's uplink, if only that is full) play above what all viewers there could have. They go
-    /// down to that, if the request gains more than they lose and the changes cost. True if they did.
+    /// Frees capacity for a request that would otherwise be rejected, and returns whether it did. It
+    /// downgrades this director's sessions at a server that hosts the title (or in its rack, if only the
+    /// uplink is full) to the rung that all viewers there could have, if the request's utility exceeds their
+    /// loss and the cost of the changes.
     pub(crate) fn free_capacity(&mut self, pending: &PendingRequest) -> bool {
         let Some(need) = self.capacity_need(pending) else { return false };
         let mut seen_racks = BTreeSet::new();
@@ -125,7 +129,7 @@
         is_freed
     }
 
-    /// What a request lacks, if it could be set up at all.
+    /// The capacity that a request needs; `None` if it could not be set up even with enough capacity.
     fn capacity_need(&self, pending: &PendingRequest) -> Option<CapacityNeed> {
         let request = &pending.request;
         let class = self.settings.classes.get(request.class)?;
@@ -143,7 +147,8 @@
         })
     }
 
-    /// The downgrades that let a request fit at one server; none if they are not worth it.
+    /// The downgrades that make a request fit at one server; `None` if they do not suffice or cost more
+    /// utility than the request gains.
     fn downgrades_at(
         &self,
         server: &Server,
@@ -158,17 +163,18 @@
         let uplink_kb_s = uplink.map_or(0.0, |uplink| missing(uplink, self.uplink_utilization(server)));
         let rack = self.settings.rack_of_cell(server.endpoint.cell).filter(|_| link_kb_s <= 0.0);
         if rack.is_some_and(|rack| !seen_racks.insert(rack)) {
-            return None; // the same sessions for the same need
+            return None; // The sessions of this rack have been considered already.
         }
         let servers = self.servers_sharing(server, rack);
         let missing_kb_s = link_kb_s.max(uplink_kb_s);
         let freed = self.cheapest_capacity(&servers, need.debt, missing_kb_s);
-        // What is freed beyond the need serves the next request, so only the needed part is weighed.
+        // Capacity freed beyond the need serves later requests, so only the needed part of the loss counts.
         let is_worth_it = freed.lost_utility_s * missing_kb_s < need.gained_utility_s * freed.kb_s;
         (freed.kb_s >= missing_kb_s && is_worth_it).then_some(freed.changes)
     }
 
-    /// The downgrades at some servers that free this much, or all that there are.
+    /// The cheapest downgrades at these servers that free `missing_kb_s` together, or all if they do not
+    /// suffice.
     fn cheapest_capacity(&self, servers: &[ServerId], debt: f64, missing_kb_s: f64) -> FreedCapacity {
         let mut freed = FreedCapacity::default();
         for downgrade in self.cheapest_downgrades(servers, |group| self.affordable_rung(group, debt)) {
@@ -193,8 +199,9 @@
         freed
     }
 
-    /// The highest lower rung that all viewers could have where a group plays, else the lowest. One whose
-    /// tenant is less in debt than the request's is not downgraded for it.
+    /// The rung that a group may be downgraded to: the highest lower one that all viewers at its server could
+    /// have, else the lowest. `None` if there is no lower one, or if its tenant has less quota debt than the
+    /// request's.
     fn affordable_rung(&self, group: &SessionGroup, debt: f64) -> Option<usize> {
         let lowest = self.settings.lowest_rung(group.class);
         if group.rung <= lowest || self.quota_debt(group.tenant) < debt {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: which servers have failed, and may be sent a set-up all the same.
+//! Outlier detection: which servers are ejected after failures, and when they get a trial attempt.
 
 use crate::director::Director;
 use crate::interface::{EndpointState, Outcome, ServerId};
@@ -6,22 +6,23 @@
 use crate::state::sessions::PendingRequest;
 use crate::time::{TimeDelta, Timestamp};
 
-/// A failing server is tried again after this.
+/// Time for which a server is ejected after its first failure.
 const EJECTION_TIME: TimeDelta = TimeDelta::from_secs(1);
-/// That wait doubles with each further failure, at most so many times.
+/// The ejection time doubles with each further failure, at most this many times.
 const MAX_EJECTION_TIME_DOUBLINGS: u32 = 3;
-/// A tick so much late was held up by this director's own process: a batch takes a few milliseconds.
+/// A tick later than this shows that this director's own process was stalled; handling a batch takes only a
+/// few milliseconds.
 const STALL_THRESHOLD: TimeDelta = TimeDelta::from_millis(300);
-/// No health checks so long after a stall: their answers would wait too.
+/// Time after a stall during which no health checks are sent, since their answers would be delayed as well.
 pub(crate) const STALL_RECOVERY_TIME: TimeDelta = TimeDelta::from_secs(5);
 
-/// How long a failing server is left alone.
+/// Time since the last failure after which a failing server may get a trial attempt.
 fn ejection_time(health: &Health) -> TimeDelta {
     EJECTION_TIME * (1 << health.failures.saturating_sub(1).min(MAX_EJECTION_TIME_DOUBLINGS))
 }
 
 impl Server {
-    /// The server has started: its past is void, and it warms up until then.
+    /// Resets failures, shortage and utilization after a restart. The server warms up until `warm_at`.
     pub(crate) fn record_restart(&mut self, warm_at: Timestamp) {
         self.health.failures = 0;
         self.shortage.is_short = false;
@@ -31,23 +32,23 @@
 }
 
 impl Director {
-    /// Notes that this director's own process stood still, if the tick is long overdue.
+    /// Records a stall of this director's own process if the tick is long overdue.
     pub(crate) fn detect_stall(&mut self) {
         if self.tick_due.is_some_and(|due| self.now - due > STALL_THRESHOLD) {
             self.stalled_at = self.now;
         }
     }
 
-    /// Takes what an outcome says of the server.
+    /// Updates a server's health by the outcome of an attempt or a health check.
     pub(crate) fn record_outcome(&mut self, server: ServerId, outcome: Outcome) {
         match outcome {
-            // What ran out while this director stood still says nothing of the server.
+            // A timeout that expired while this director was stalled is no evidence against the server.
             Outcome::TimedOut if self.stalled_at == self.now => {}
             Outcome::ConnectionFailed | Outcome::ConnectionReset | Outcome::TimedOut => {
                 self.record_health(server, false);
             }
             Outcome::Error => {
-                // Its process answers, so it has not restarted and needs no warm-up.
+                // The process answers, so it has not restarted and needs no warm-up.
                 let server = self.servers.get_mut(&server);
                 server.into_iter().for_each(|s| s.health.record_failure(self.now));
             }
@@ -56,27 +57,28 @@
         }
     }
 
-    /// Takes the outcome of a health check. Success shows that the process runs, not that it sets sessions
-    /// up: it clears no failure.
+    /// Records the outcome of a health check. A success only shows that the process runs, not that it sets up
+    /// sessions, so it clears no failure.
     pub(crate) fn record_health_check(&mut self, server: ServerId, outcome: Outcome) {
         if outcome != Outcome::Success {
             self.record_outcome(server, outcome);
         }
     }
 
-    /// Takes a sign of life, or a sign that the server's process may be gone.
+    /// Records evidence that a server works, or that its process may have stopped.
     pub(crate) fn record_health(&mut self, server: ServerId, is_alive: bool) {
         let Some(server) = self.servers.get_mut(&server) else { return };
         if is_alive {
             server.health.failures = 0;
         } else {
             server.health.record_failure(self.now);
-            // It may be back at any moment, and cold.
+            // It may restart at any moment and has to warm up then.
             server.warm_at = server.warm_at.max(self.now + self.settings.rules.warm_up);
         }
     }
 
-    /// Whether a server is ready, not tried for this request, not ahead of its warm-up, and not ejected.
+    /// Whether a server may get an attempt of this request: it is ready, was not tried for it, has room in
+    /// its warm-up limit, and is not ejected.
     pub(crate) fn is_available(&self, server: &Server, pending: &PendingRequest) -> bool {
         let is_ready = server.endpoint.state == EndpointState::Ready;
         if !is_ready
@@ -88,7 +90,8 @@
         !server.health.is_failing() || self.allows_trial_attempt(server, pending)
     }
 
-    /// A failing server is tried with what may be repeated only, one at a time, ever more rarely.
+    /// Whether a failing server may get this request as a trial. Only repeatable set-ups are used, one at a
+    /// time, after the ejection time.
     fn allows_trial_attempt(&self, server: &Server, pending: &PendingRequest) -> bool {
         let is_repeatable = pending.is_set_up || self.settings.is_idempotent(pending.request.class);
         let is_due = self.now - server.health.failed_at >= ejection_time(&server.health);
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,5 +1,5 @@
-//! Exception: where health checks are allowed and cost less than fresh reports are worth, and nothing fresh
-//! is known of the holder that would be chosen, the best such holders are asked first.
+//! Exception: if health checks are allowed and cheap enough, and the best candidate has no recent report, the
+//! best candidates without one are checked before the request is placed.
 
 use super::health::STALL_RECOVERY_TIME;
 use crate::director::Director;
@@ -8,19 +8,20 @@
 use crate::state::sessions::PendingRequest;
 use crate::time::TimeDelta;
 
-/// What fresh reports save of a session's utility: dearer health checks are not sent.
+/// Fraction of a session's utility that recent reports save. It bounds the cost of the health checks for a
+/// request.
 const FRESH_REPORT_VALUE: f64 = 0.03;
-/// Health checks are taken to cost at least this.
+/// Lower bound of the assumed cost of a health check.
 const MIN_CHECK_PRICE: f64 = 1e-4;
-/// Servers checked for one request at most.
+/// Maximum number of servers checked for one request.
 const MAX_CHECKS: usize = 2;
-/// A younger report needs no health check.
+/// Age up to which a report makes a health check unnecessary.
 const FRESH_REPORT_AGE: TimeDelta = TimeDelta::from_secs(2);
-/// Servers answer a health check in milliseconds or not at all.
+/// Timeout of health checks. Servers answer within milliseconds or not at all.
 pub(crate) const CHECK_TIMEOUT: TimeDelta = TimeDelta::from_millis(60);
 
 impl Director {
-    /// The servers to check for a request; mostly none.
+    /// The servers to check before placing a request; usually empty.
     pub(crate) fn servers_to_check(&self, pending: &PendingRequest) -> Vec<ServerId> {
         let limits = &self.settings.limits;
         if !limits.can_check_health || self.now - self.stalled_at < STALL_RECOVERY_TIME {
--- a/src/policy/quotas.rs
+++ b/src/policy/quotas.rs
@@ -1,16 +1,17 @@
-//! Exception: tenants have quotas of the fleet. One that holds more than its own finds every line lower, so
-//! that there is capacity for those within theirs as soon as they come.
+//! Exception: a tenant that uses more than its quota of the fleet gets lower utilization limits, so that
+//! tenants within their quotas find capacity as soon as they need it.
 
 use super::admission::{PREFERRED_RUNG_UTILIZATION_LIMIT, UTILIZATION_LIMIT};
 use crate::director::Director;
 use crate::interface::Request;
 use crate::state::records::{QuotaLimit, QuotaStatus};
 
-/// Fraction of a link closed to a tenant of the greatest debt; half of it to one of hardly any.
+/// Fraction of a link's capacity that a tenant with the highest quota debt may not use. A tenant barely above
+/// its quota may not use half of that.
 const DEBT_PENALTY: f64 = 0.05;
 
 impl Director {
-    /// The position of a tenant; none without a quota.
+    /// A tenant's usage and quota; `None` without a quota.
     pub(crate) fn quota_status(&self, tenant: Option<usize>) -> Option<QuotaStatus> {
         let tenant = tenant?;
         let quota = self.settings.fleet_quota(tenant)?;
@@ -19,14 +20,15 @@
         Some(QuotaStatus { sessions: usage.sessions as f64, held_fraction, quota })
     }
 
-    /// 0 within the quota; above it from a half to 1, the more the more the tenant holds beyond it.
+    /// Quota debt of a tenant: 0 within its quota; above it from 0.5 to 1, growing with the excess.
     pub(crate) fn quota_debt(&self, tenant: Option<usize>) -> f64 {
         let status = self.quota_status(tenant).filter(|status| status.held_fraction > status.quota);
         status.map_or(0.0, |status| (1.0 + status.held_fraction - status.quota) / 2.0)
     }
 
-    /// A part of every line is closed to a tenant in debt; while others are here within their quotas all
-    /// above the mark is too, and a session at the top must fit beside its own.
+    /// Reduction of the utilization limits for a tenant with quota debt. While another tenant here is within
+    /// its quota, the limit is also lowered to [`PREFERRED_RUNG_UTILIZATION_LIMIT`], and a session at the top
+    /// rung must still fit in addition.
     pub(crate) fn quota_limit(&self, request: &Request) -> QuotaLimit {
         let debt = self.quota_debt(request.tenant);
         let limit_scale = 1.0 - DEBT_PENALTY * debt;
--- a/src/policy/upgrades.rs
+++ b/src/policy/upgrades.rs
@@ -1,5 +1,6 @@
-//! Exception: a playing session's rung was decided for a load that may have changed. Once link and uplink are
-//! reported it is decided like a new one, upwards only, if what remains of it is worth more than the change.
+//! Exception: a playing session is upgraded if the load has decreased since its rung was chosen. Once link
+//! and uplink have reports, its rung is chosen as for a new session, upwards only, if the utility gained over
+//! its remaining time exceeds the cost of the change.
 
 use crate::director::Director;
 use crate::hash::draw;
@@ -9,7 +10,7 @@
 use std::collections::BTreeMap;
 
 impl Director {
-    /// The sessions to be upgraded now, and their rungs.
+    /// The sessions to upgrade now, with their new rungs.
     pub(crate) fn find_upgrades(&self) -> BTreeMap<SessionId, usize> {
         let mut upgrades = BTreeMap::new();
         for (group, sessions) in &self.sessions.playing {
@@ -23,7 +24,8 @@
         upgrades
     }
 
-    /// None where no session of the group can be upgraded, so that they need not be looked at one by one.
+    /// What the upgrades of a group's sessions have in common; `None` if none of them can be upgraded, so
+    /// that they need not be checked one by one.
     fn upgrade_context(&self, group: &SessionGroup) -> Option<UpgradeContext<'_>> {
         let server = self.servers.get(&group.server).filter(|server| !server.shortage.is_short)?;
         let class = self.settings.classes.get(group.class)?;
@@ -48,12 +50,13 @@
         })
     }
 
-    /// The rung that a session is to be upgraded to.
+    /// The rung to upgrade a session to, if any.
     fn find_upgrade(&self, group: &SessionGroup, context: &UpgradeContext, id: SessionId) -> Option<usize> {
         let session = self.sessions.get(id).filter(|session| context.reported_at >= session.sent_at)?;
         let request = &session.pending.request;
-        // All other directors decide theirs at the same time: what counts is not how full the link is now but
-        // what all viewers there would ask at that rung. If only a part can have it, that part does, by draw.
+        // All directors decide at the same time, so the criterion is not the link's current utilization but
+        // the rate that all viewers there would need at the rung. If only a fraction can have it, a draw
+        // selects them.
         let fraction = draw(id.0);
         let mut higher = (group.rung + 1..=context.highest_rung).rev();
         let preferred = higher.find(|rung| self.is_affordable(group, *rung, fraction, context.load_ratio))?;
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -1,5 +1,6 @@
-//! Exception: a server that has just started falls over beyond a pace, so it is open to a part of the
-//! requests only, drawn by hash: as many as keep the pace if every director sends all that it may.
+//! Exception: a server that has just started fails above a certain rate of set-ups. So it accepts only a
+//! fraction of the requests, selected by hash, which keeps that rate even if every director sends all that it
+//! may.
 
 use crate::director::Director;
 use crate::hash::{draw, tie_breaker};
@@ -7,14 +8,17 @@
 use crate::state::sessions::{PendingRequest, count_after};
 use crate::time::TimeDelta;
 
-/// Part used of the pace at which a warming server falls over: chance bunches, capacities stray.
+/// Fraction used of the rate of set-ups at which a warming server fails. The rest absorbs random bursts and
+/// deviations of its capacity.
 const SETUP_RATE_MARGIN: f64 = 0.5;
-/// A title may draw so large a part of all viewers however few servers hold it.
+/// Lower bound of the assumed fraction of all requests that are for a title, however few servers host it.
 const MIN_TITLE_FRACTION: f64 = 0.02;
 
 impl Director {
-    /// Whether a server's warm-up admits this request. One that is known to warm up draws all requests
-    /// for its titles; while any may be, since a cached endpoint list may hide a start, they draw alike.
+    /// Whether a server's warm-up limit admits this request. A server that is known to be warming up is the
+    /// least loaded, so it attracts all requests for its titles. Within the warm-up time after the director's
+    /// own start, any server may be warming up, since a cached endpoint list may lack a restart; then each
+    /// attracts an equal part.
     pub(crate) fn admits_warm_up(&self, server: &Server, pending: &PendingRequest) -> bool {
         let rules = &self.settings.rules;
         let is_warming_up = self.now < server.warm_at;
@@ -34,7 +38,7 @@
         draw(tie_breaker) * fleet_requests < allowed && sent < own_allowed
     }
 
-    /// Set-ups each microsecond at which a server that has just started falls over.
+    /// Rate of set-ups per microsecond at which a server that has just started fails.
     fn overload_rate_per_us(&self, server: &Server) -> f64 {
         let rules = &self.settings.rules;
         let warm_up = rules.warm_up.max(TimeDelta::from_micros(1)).as_micros() as f64;
@@ -42,7 +46,7 @@
         (rules.overload_factor * rules.initial_capacity * capacity).max(1.0) / warm_up
     }
 
-    /// Part of all requests that may draw the server.
+    /// Fraction of all requests that may be sent to the server.
     fn request_fraction(&self, pending: &PendingRequest, is_warming_up: bool) -> f64 {
         let cells = self.settings.cell_count.max(1) as f64;
         if is_warming_up {
--- a/src/server_estimate.rs
+++ b/src/server_estimate.rs
@@ -1,27 +1,27 @@
-//! What a director believes of the servers, for whoever watches it.
+//! A director's estimates of the servers' state, for monitoring.
 
 use crate::director::Director;
 use crate::interface::ServerId;
 
-/// What is believed of one server.
+/// The estimated state of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEstimate {
     /// The server.
     pub server: ServerId,
-    /// Rates asked of its link, as a fraction of the link's capacity.
+    /// Requested rates on its link, as a fraction of the link's capacity.
     pub link_utilization: f64,
-    /// The same of its rack's uplink; 0 where racks have none.
+    /// Requested rates on its rack's uplink, as a fraction of that capacity; 0 where racks have no uplinks.
     pub uplink_utilization: f64,
-    /// Failures since its last sign of life.
+    /// Failures since the last evidence that it works.
     pub failures: u32,
-    /// It is paced as a server that has just started.
+    /// Its rate of set-ups is limited because it has started recently, or may have.
     pub is_warming_up: bool,
-    /// It is reported to deliver less than its sessions' rates.
+    /// It is reported to deliver less than the rates of its sessions.
     pub is_short: bool,
 }
 
 impl Director {
-    /// What is believed of each listed server, by id.
+    /// The estimates of all servers on record, in order of their ids.
     pub fn server_estimates(&self) -> impl Iterator<Item = ServerEstimate> + '_ {
         self.servers.values().map(|server| ServerEstimate {
             server: server.endpoint.server,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! What a director remembers. Nothing is decided here: the files keep records and counts, and answer questions on
-//! them and on the settings. What follows from the answers is decided in [`crate::policy`].
+//! The state of a director: records, counts, and queries on them and on the settings. Decisions based on them
+//! are made in [`crate::policy`].
 
 pub(crate) mod attempts;
 pub(crate) mod demand;
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -1,10 +1,10 @@
-//! When set-ups were asked for of late, and how long they usually take.
+//! The times of recent set-ups, and their mean duration.
 
 use crate::interface::{Outcome, SessionId};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
-/// When requests, retries and migrations were made, of late.
+/// Times of recent requests, retries and migrations.
 #[derive(Default)]
 pub(crate) struct AttemptHistory {
     requests: VecDeque<Timestamp>,
@@ -13,7 +13,7 @@
 }
 
 impl AttemptHistory {
-    /// Counts a request, and forgets what is older than `keep`.
+    /// Records a request, and removes entries older than `keep`.
     pub fn record_request(&mut self, now: Timestamp, keep: TimeDelta) {
         self.requests.push_back(now);
         for times in [&mut self.requests, &mut self.retries, &mut self.migrations] {
@@ -23,53 +23,53 @@
         }
     }
 
-    /// Counts a retry.
+    /// Records a retry.
     pub fn record_retry(&mut self, now: Timestamp) {
         self.retries.push_back(now);
     }
 
-    /// Counts a migration, which asks a server for a set-up too.
+    /// Records a migration, which causes a set-up at its target.
     pub fn record_migration(&mut self, now: Timestamp) {
         self.migrations.push_back(now);
     }
 
-    /// All set-ups asked for after a time.
+    /// Number of requests, retries and migrations after a time.
     pub fn count_after(&self, time: Timestamp) -> usize {
         let count = |times: &VecDeque<Timestamp>| times.iter().rev().take_while(|t| **t > time).count();
         count(&self.requests) + count(&self.retries) + count(&self.migrations)
     }
 
-    /// Requests after a time.
+    /// Number of requests after a time.
     pub fn requests_after(&self, time: Timestamp) -> usize {
         self.requests.iter().filter(|request| **request > time).count()
     }
 
-    /// Retries at or after a time.
+    /// Number of retries at or after a time.
     pub fn retries_from(&self, time: Timestamp) -> usize {
         self.retries.iter().filter(|retry| **retry >= time).count()
     }
 }
 
-/// Running mean of set-up times.
+/// Exponential moving average of set-up times.
 #[derive(Default)]
 pub(crate) struct SetupTime {
     pub mean_us: f64,
 }
 
 impl SetupTime {
-    /// Takes a set-up time of this weight against the mean, from 0 to 1.
+    /// Adds a set-up time with a weight from 0 to 1.
     pub fn record(&mut self, setup_time: TimeDelta, weight: f64) {
         let latest_us = setup_time.max(TimeDelta::ZERO).as_micros() as f64;
         self.mean_us += weight * (latest_us - self.mean_us);
     }
 }
 
-/// How an attempt, or the session that it began, ended.
+/// The end of an attempt, or of the session that it started.
 pub(crate) struct FinishedAttempt {
     pub session: SessionId,
-    /// Attempts sent so far, this one included.
+    /// Attempts sent so far, including this one.
     pub attempts: u32,
     pub outcome: Outcome,
-    /// The request needs no further answer.
+    /// Whether the request already has its final answer.
     pub is_answered: bool,
 }
--- a/src/state/demand.rs
+++ b/src/state/demand.rs
@@ -1,42 +1,43 @@
-//! What was seen of viewers' demand: arrivals, rejections, how long sessions lasted, and the figures that
-//! [`crate::policy::demand`] made of them.
+//! Observations of viewers' demand: arrivals, rejections, durations of sessions, and the estimates that
+//! [`crate::policy::demand`] derives from them.
 
 use crate::interface::Request;
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A viewer lately rejected.
+/// A recently rejected viewer.
 pub(crate) struct RejectedViewer {
     pub at: Timestamp,
     pub class: usize,
 }
 
-/// New viewers of one step of time.
+/// New viewers within one time step.
 struct ArrivalStep {
     from: Timestamp,
     count: f64,
-    /// Seconds that they want, by class.
+    /// Sum of their expected session durations in seconds, by class.
     seconds: BTreeMap<usize, f64>,
 }
 
-/// Arrivals over a span of time.
+/// Totals of the arrivals in a time window.
 pub(crate) struct ArrivalTotals {
     pub count: f64,
-    /// Seconds that they want; never 0, so that it can divide.
+    /// Sum of expected session durations in seconds; above 0, so that it can be a divisor.
     pub seconds: f64,
-    /// The same of those that came lately.
+    /// The part of `seconds` from recent arrivals.
     pub recent_seconds: f64,
     pub seconds_by_class: BTreeMap<usize, f64>,
 }
 
-/// Arrivals of late, in steps of time.
+/// Recent arrivals, aggregated by time step.
 #[derive(Default)]
 pub(crate) struct Arrivals {
     steps: VecDeque<ArrivalStep>,
 }
 
 impl Arrivals {
-    /// Counts a viewer who wants to play for so many seconds. One that is not counted still begins a step.
+    /// Records a viewer with an expected session duration. With `is_counted` false, it only starts a new time
+    /// step.
     pub fn record(&mut self, from: Timestamp, class: usize, seconds: f64, is_counted: bool) {
         if self.steps.back().is_none_or(|step| step.from < from) {
             self.steps.push_back(ArrivalStep { from, count: 0.0, seconds: BTreeMap::new() });
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Forgets what is older than `start`, and sums the rest; steps after `recent_start` are recent.
+    /// Removes steps before `start` and sums the rest. Steps after `recent_start` are recent.
     pub fn totals(&mut self, start: Timestamp, recent_start: Timestamp) -> ArrivalTotals {
         while self.steps.front().is_some_and(|step| step.from < start) {
             self.steps.pop_front();
@@ -66,19 +67,19 @@
     }
 }
 
-/// Sums over the sessions that have ended here; older ones fade.
+/// Exponentially decaying sums over the sessions that have ended at this director.
 #[derive(Default)]
 pub(crate) struct EndedSessions {
     pub count: f64,
     pub seconds: f64,
-    /// Those with a duration hint.
+    /// Number of sessions with a duration hint.
     pub hinted: f64,
-    /// Sum of the durations of those hinted, as fractions of their hints.
+    /// Sum of their ratios of duration to hint.
     pub hint_fractions: f64,
 }
 
 impl EndedSessions {
-    /// Takes a session's end; the earlier ones fade by the factor `fade`.
+    /// Adds an ended session, after multiplying the earlier sums by `decay`.
     pub fn record(&mut self, duration: TimeDelta, hint: Option<TimeDelta>, decay: f64) {
         let seconds = duration.as_secs_f64();
         let hint = hint.filter(|hint| *hint > TimeDelta::ZERO);
@@ -98,31 +99,32 @@
     pub rung: usize,
 }
 
-/// What all viewers would ask, over the fleet's usable capacity, if each had every rung worth as much for its rate.
+/// Demand of all viewers as a fraction of the fleet's usable capacity, if each had every rung with at least
+/// this one's utility per rate.
 #[derive(Clone, Copy)]
 pub(crate) struct RungDemand {
-    /// Before this rung is given to any.
+    /// Before anyone is given this rung.
     pub without_rung: f64,
-    /// With this rung given to all who want it.
+    /// With this rung given to all viewers of the class.
     pub with_rung: f64,
 }
 
-/// The demand seen.
+/// Observed and estimated demand.
 #[derive(Default)]
 pub(crate) struct Demand {
-    /// Viewers lately rejected, by viewer.
+    /// Recently rejected viewers, by viewer id.
     pub rejected: BTreeMap<u64, RejectedViewer>,
     pub arrivals: Arrivals,
     pub ended: EndedSessions,
     pub rungs: BTreeMap<ClassRung, RungDemand>,
-    /// What links and uplinks give under the full line, kB a second.
+    /// Capacity of links and uplinks up to the utilization limit, kB/s.
     pub capacity_kb_s: f64,
-    /// Some tenant here holds no more than its quota.
+    /// Whether any tenant with sessions here is within its quota.
     pub has_tenant_within_quota: bool,
 }
 
 impl Demand {
-    /// A viewer is rejected, and will come again.
+    /// Records a rejected viewer, who is expected to return.
     pub fn record_rejection(&mut self, request: &Request, now: Timestamp) {
         self.rejected.insert(request.viewer, RejectedViewer { at: now, class: request.class });
     }
--- a/src/state/fleet_load.rs
+++ b/src/state/fleet_load.rs
@@ -1,4 +1,4 @@
-//! The load of the whole fleet, as one director makes it out. [`crate::policy::capacity_estimate`] estimates it.
+//! One director's estimate of the load of the whole fleet, computed by [`crate::policy::capacity_estimate`].
 
 use super::link_estimate::LinkEstimate;
 
@@ -6,24 +6,24 @@
 #[derive(Default)]
 pub(crate) struct Utilization {
     pub mean: f64,
-    /// Standard deviation of single ones.
+    /// Standard deviation over single links or uplinks.
     pub deviation: f64,
 }
 
-/// What this director makes of the whole fleet.
+/// One director's estimate of the fleet's load.
 #[derive(Default)]
 pub(crate) struct FleetLoad {
     pub link: Utilization,
     pub uplink: Utilization,
-    /// Sessions that play, or are being set up.
+    /// Number of sessions that play or are being set up.
     pub sessions: f64,
-    /// Fraction of all sessions that other directors hold.
+    /// Fraction of all sessions that belong to other directors.
     pub others_fraction: f64,
-    /// Set-ups of other directors that an own one stands for, until a report shows them.
+    /// Set-ups of other directors that are assumed for each own one, until a report shows them.
     pub peer_setups_per_own: f64,
 }
 
-/// Sums over the utilization of reported links.
+/// Sums over the utilization of links with a current report.
 #[derive(Default)]
 pub(crate) struct ReportSums {
     pub sum: f64,
@@ -32,7 +32,7 @@
 }
 
 impl ReportSums {
-    /// Sums those that are reported.
+    /// Sums over the estimates that have a current report.
     pub fn of<'a>(estimates: impl Iterator<Item = &'a LinkEstimate>) -> ReportSums {
         let mut sums = ReportSums::default();
         for estimate in estimates.filter(|estimate| estimate.reported_at.is_some()) {
--- a/src/state/link_estimate.rs
+++ b/src/state/link_estimate.rs
@@ -1,7 +1,7 @@
-//! The running estimate of what is asked of one link or rack uplink, as a fraction of its capacity.
+//! The running estimate of the utilization of one link or rack uplink.
 //!
-//! It is the utilization last reported plus this director's own changes since then. How much a report weighs, and
-//! how the load of other directors is guessed where nothing was reported, is decided by the caller.
+//! It combines reported utilization with this director's own rate changes since the reports. The caller
+//! decides the weight of a report, and what to assume of other directors' load where there is no report.
 
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
@@ -12,20 +12,20 @@
     pub kb_s: f64,
 }
 
-/// What is believed to be asked of one link or uplink.
+/// The estimated utilization of one link or uplink.
 #[derive(Default)]
 pub(crate) struct LinkEstimate {
-    /// Notified capacity, kB a second; 0 where it is unknown.
+    /// Configured capacity, kB/s; 0 if unknown.
     pub capacity_kb_s: f64,
-    /// Believed rates asked, as a fraction of the capacity.
+    /// Estimated requested rates, as a fraction of the capacity.
     pub utilization: f64,
-    /// Rate of this director's own sessions on it, kB a second.
+    /// Rate of this director's own sessions on it, kB/s.
     pub own_rate_kb_s: f64,
-    /// When the last report came that still counts.
+    /// Arrival time of the last report; `None` if there was none or it has expired.
     pub reported_at: Option<Timestamp>,
-    /// The latest time of which any report told.
+    /// Latest time at which any report was measured.
     measured_until: Timestamp,
-    /// Own changes of the last seconds, in order of time.
+    /// Recent rate changes of own sessions, in order of time.
     own_changes: VecDeque<RateChange>,
 }
 
@@ -35,17 +35,17 @@
         LinkEstimate { capacity_kb_s, ..LinkEstimate::default() }
     }
 
-    /// Whether a report came within `age`.
+    /// Whether the last report is at most `age` old.
     pub fn is_reported_within(&self, now: Timestamp, age: TimeDelta) -> bool {
         self.reported_at.is_some_and(|at| now - at <= age)
     }
 
-    /// A rate as a fraction of the capacity; 0 where the capacity is unknown.
+    /// A rate as a fraction of the capacity; 0 if the capacity is unknown.
     pub fn fraction(&self, kb_s: f64) -> f64 {
         if self.capacity_kb_s > 0.0 { kb_s / self.capacity_kb_s } else { 0.0 }
     }
 
-    /// Adds to this director's own rate, and remembers the change for `keep`.
+    /// Adds to this director's own rate, and records the change for the time `keep`.
     pub fn adjust_own_rate(&mut self, now: Timestamp, kb_s: f64, keep: TimeDelta) {
         self.own_rate_kb_s = (self.own_rate_kb_s + kb_s).max(0.0);
         self.utilization = (self.utilization + self.fraction(kb_s)).max(0.0);
@@ -55,20 +55,21 @@
         }
     }
 
-    /// Own changes after a time. The log is in order of time, and at thousands of set-ups a second the rest of it
-    /// is long, so the first one is searched for.
+    /// Own rate changes after a time. Found by binary search, since the ordered log is long at thousands of
+    /// set-ups per second.
     fn own_changes_after(&self, time: Timestamp) -> impl Iterator<Item = &RateChange> {
         self.own_changes.range(self.own_changes.partition_point(|change| change.at <= time)..)
     }
 
-    /// Sum of own set-ups that no report shows yet, kB a second; what ended meanwhile is not taken off.
+    /// Sum of the rates of own set-ups that no report includes yet, kB/s. Sessions that ended since are not
+    /// subtracted.
     pub fn unreported_own_setups_kb_s(&self) -> f64 {
         let setups = self.own_changes_after(self.measured_until).filter(|change| change.kb_s > 0.0);
         setups.map(|change| change.kb_s).sum()
     }
 
-    /// Takes a report of this age and weight against the belief, from 0 to 1; own changes since it was measured
-    /// are added to it. The first report counts whole.
+    /// Records a report of this age with a weight from 0 to 1 against the current estimate. Own changes since
+    /// it was measured are added to it. The first report, or the first after expiry, replaces the estimate.
     pub fn record_report(&mut self, now: Timestamp, age: TimeDelta, utilization: f64, weight: f64) {
         if !utilization.is_finite() || utilization < 0.0 {
             return;
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,4 +1,4 @@
-//! Plain records that policies hand to each other and to the director.
+//! Plain data types that policies pass to each other and to the director.
 
 use super::demand::ClassRung;
 use super::servers::Server;
@@ -13,44 +13,44 @@
     pub rung: usize,
 }
 
-/// What brought a load report, which says how old and noisy it is.
+/// The source of a load report, which determines its age and noise.
 #[derive(Clone, Copy)]
 pub(crate) enum ReportSource {
     /// The answer to an attempt or a health check.
     Answer,
-    /// A session's first notification, which comes with its set-up and is fresh.
+    /// A session's first notification, sent with its set-up and without delay.
     FirstNotification,
-    /// A later notification, which comes with the usual delay.
+    /// A later notification, which arrives with the notification delay.
     LaterNotification,
-    /// Deduced from a shortage of delivery.
+    /// Derived from a reported shortage.
     Shortage,
 }
 
-/// How far a report counts.
+/// Assumed age of a report, and its weight against the current estimate.
 pub(crate) struct ReportTrust {
     pub age: TimeDelta,
     pub weight: f64,
 }
 
-/// What a tenant holds here, and what is its own.
+/// A tenant's usage at this director, and its quota.
 pub(crate) struct QuotaStatus {
-    /// Sessions held here.
+    /// Number of its sessions at this director.
     pub sessions: f64,
-    /// Its fraction of the rates that tenants hold here; the other directors are taken to hold alike.
+    /// Its fraction of all tenants' rates at this director. It is assumed to be the same at the others.
     pub held_fraction: f64,
-    /// Fraction of the fleet that is its own.
+    /// Fraction of the fleet that is reserved for it.
     pub quota: f64,
 }
 
-/// What is closed to a request for its tenant's debt.
+/// How the utilization limits of a request are reduced for its tenant's quota debt.
 pub(crate) struct QuotaLimit {
-    /// Every line is lower by this factor.
+    /// Factor on every utilization limit.
     pub limit_scale: f64,
-    /// Capacity to leave free beside its own, kB a second.
+    /// Capacity that must stay free in addition to its own rate, kB/s.
     pub reserved_kb_s: f64,
 }
 
-/// A downgrade that sessions of a group may take, with what each frees and loses.
+/// A possible downgrade of a group's sessions, with the rate freed and the utility lost by each session.
 pub(crate) struct Downgrade {
     pub utility_per_kb: f64,
     pub group: SessionGroup,
@@ -59,11 +59,11 @@
     pub lost_utility: f64,
 }
 
-/// A request that lacks capacity.
+/// The capacity that a request needs.
 pub(crate) struct CapacityNeed {
-    /// Highest utilization that the request's tenant may fill links to.
+    /// Utilization limit for the request's tenant.
     pub utilization_limit: f64,
-    /// Rate that must fit under it, kB a second.
+    /// Rate that must fit within it, kB/s.
     pub kb_s: f64,
     /// Quota debt of the request's tenant.
     pub debt: f64,
@@ -71,32 +71,32 @@
     pub gained_utility_s: f64,
 }
 
-/// A server that may take a request, with what it is ranked by.
+/// A server that is available to a request, with its ranking criteria.
 pub(crate) struct Candidate<'a> {
     pub server: &'a Server,
     pub load: f64,
     pub tie_breaker: u64,
 }
 
-/// What all sessions of a group may be upgraded under.
+/// What all sessions of a group have in common when they are considered for an upgrade.
 pub(crate) struct UpgradeContext<'a> {
     pub server: &'a Server,
     pub reported_at: Timestamp,
     pub lowest_rung: usize,
     pub highest_rung: usize,
     pub load_ratio: f64,
-    /// Rate that each session has there already.
+    /// Rate that each session already has there.
     pub current_kb_s: f64,
 }
 
-/// One rung of one class, for all of its viewers.
+/// One rung of one class, with the rate that it adds for all viewers of the class.
 pub(crate) struct RungStep {
     pub utility_per_kb: f64,
     pub at: ClassRung,
     pub kb_s: f64,
 }
 
-/// What a number of downgrades free and cost.
+/// A set of downgrades, with the capacity that they free and the utility that they cost.
 #[derive(Default)]
 pub(crate) struct FreedCapacity {
     pub changes: Vec<RungChange>,
@@ -105,7 +105,7 @@
     pub lost_utility_s: f64,
 }
 
-/// A session that is to change to a rung.
+/// A change of a session's rung.
 pub(crate) struct RungChange {
     pub session: SessionId,
     pub rung: usize,
--- a/src/state/servers.rs
+++ b/src/state/servers.rs
@@ -1,4 +1,4 @@
-//! The evidence on each server: its line of the endpoint list, link, health, and shortage of delivery.
+//! The state of each server: its endpoint list entry, link estimate, health, and shortage of delivery.
 
 use super::link_estimate::LinkEstimate;
 use crate::interface::Endpoint;
@@ -7,7 +7,7 @@
 /// Failures of a server.
 #[derive(Default)]
 pub(crate) struct Health {
-    /// Failures since the last sign of life.
+    /// Failures since the last evidence that it works.
     pub failures: u32,
     /// Time of the last failure.
     pub failed_at: Timestamp,
@@ -20,7 +20,7 @@
         self.failed_at = now;
     }
 
-    /// Whether it has failed since its last sign of life.
+    /// Whether there was a failure since the last evidence that it works.
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
@@ -29,9 +29,9 @@
 /// A server's reports that it delivers less than its sessions' rates.
 #[derive(Default)]
 pub(crate) struct Shortage {
-    /// It delivers short: its link counts as full until this is cleared.
+    /// Whether it currently delivers less; its link counts as full until this is cleared.
     pub is_short: bool,
-    /// Time of the last report of it.
+    /// Time of the last report of a shortage.
     pub reported_at: Timestamp,
     /// Utility that the shortage has cost each session so far, in seconds at full utility.
     pub lost_utility_s: f64,
@@ -40,20 +40,20 @@
 }
 
 impl Shortage {
-    /// The server delivers in full.
+    /// Records that the server delivers the full rates again.
     pub fn clear(&mut self) {
         self.is_short = false;
         self.lost_utility_s = 0.0;
     }
 }
 
-/// All evidence on one server.
+/// The state of one server.
 #[derive(Default)]
 pub(crate) struct Server {
     pub endpoint: Endpoint,
     pub link: LinkEstimate,
     pub health: Health,
     pub shortage: Shortage,
-    /// It warms up until then, as far as this director can tell.
+    /// Time until which it is assumed to warm up.
     pub warm_at: Timestamp,
 }
--- a/src/state/sessions.rs
+++ b/src/state/sessions.rs
@@ -1,54 +1,57 @@
-//! The sessions that a director has out or playing, and the counts of them that decisions read.
+//! A director's sessions, in set-up or playing, and running counts of them for decisions.
 //!
-//! A decision that walked all sessions would cost the more the more of them play. So every change goes through
-//! [`SessionIndex`], which keeps the counts equal to what such a walk would find.
+//! Scanning all sessions for each decision would not scale. So every change goes through [`SessionIndex`],
+//! which keeps the counts equal to what such a scan would find.
 
 use crate::interface::{Request, ServerId, SessionId, TitleId};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Ids of sessions are below this bit.
+/// Marks placeholder ids. Session ids are below this bit.
 const PLACEHOLDER_BIT: u64 = 1 << 52;
 
-/// A request without an attempt. Sending and answering consume it, so neither can happen twice.
+/// A request without an attempt in flight. Sending an attempt and answering consume it, so neither can happen
+/// twice.
 #[derive(Clone)]
 pub(crate) struct PendingRequest {
     pub request: Request,
-    /// Attempts sent; the last one's number is one less.
+    /// Number of attempts sent. Attempts are numbered from 0.
     pub attempts: u32,
-    /// Servers that an attempt was sent to.
+    /// Servers to which an attempt was sent.
     pub tried: Vec<ServerId>,
-    /// It has been set up once, so that asking another server sets nothing up.
+    /// Whether the session has been set up already, so that a migration to another server does not set it up
+    /// again.
     pub is_set_up: bool,
-    /// Servers that answered it with an error.
+    /// Number of servers that answered it with an error.
     pub error_responses: u32,
 }
 
 impl PendingRequest {
-    /// A request that no attempt was sent for.
+    /// A request without any attempts yet.
     pub fn new(request: Request) -> PendingRequest {
         PendingRequest { request, attempts: 0, tried: Vec::new(), is_set_up: false, error_responses: 0 }
     }
 
-    /// A request whose session plays at a server already.
+    /// A request whose session already plays at a server.
     pub fn already_at(server: ServerId, request: Request) -> PendingRequest {
         PendingRequest { tried: vec![server], is_set_up: true, ..PendingRequest::new(request) }
     }
 }
 
-/// How far the attempt of a session is.
+/// The state of a session's latest attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionState {
-    /// Sent, no answer yet.
+    /// In flight, without an answer yet.
     AwaitingAnswer,
-    /// It plays.
+    /// The session plays.
     Playing,
-    /// Answered or withdrawn while its attempt is still out: holds its seat and rate, is never sent again.
+    /// The request is answered or withdrawn while the attempt is in flight. It still counts towards session
+    /// limits and rates, and is not retried.
     Closed,
 }
 
-/// A request with its one attempt that is out, or the session that it became.
+/// A request with an attempt in flight, or the session that resulted from it.
 pub(crate) struct ActiveSession {
     pub pending: PendingRequest,
     pub state: SessionState,
@@ -56,12 +59,12 @@
     pub rung: usize,
     pub rate_kb_s: f64,
     pub sent_at: Timestamp,
-    /// From then on its rung may be decided anew.
+    /// Earliest time at which its rung may be changed again.
     pub reconsider_at: Timestamp,
 }
 
 impl ActiveSession {
-    /// Whether an answer to this attempt is still awaited.
+    /// Whether the attempt is still unanswered.
     pub fn awaits_answer(&self) -> bool {
         self.state == SessionState::AwaitingAnswer
     }
@@ -72,20 +75,20 @@
     }
 }
 
-/// The id under which a session holds its seat and rate at the server that it migrates to.
+/// The id under which a migrating session is counted at its target.
 pub(crate) fn placeholder_id(id: SessionId) -> SessionId {
     SessionId(id.0 | PLACEHOLDER_BIT)
 }
 
-/// Sessions by the time of their last send, or by when they may be reconsidered.
+/// Sessions ordered by the time of their latest attempt, or by when they may be reconsidered.
 pub(crate) type SessionsByTime = BTreeSet<(Timestamp, SessionId)>;
 
-/// How many of the sessions have a later time.
+/// Number of sessions with a later time.
 pub(crate) fn count_after(sessions: &SessionsByTime, time: Timestamp) -> usize {
     sessions.range((Excluded((time, SessionId(u64::MAX))), Unbounded)).count()
 }
 
-/// Playing sessions for which the same is decided anew.
+/// Playing sessions that are equivalent for decisions on their rung.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SessionGroup {
     pub server: ServerId,
@@ -110,42 +113,42 @@
     }
 }
 
-/// What a tenant's sessions here hold.
+/// Totals of a tenant's sessions at this director.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct TenantUsage {
     pub sessions: usize,
     pub rate_kb_s: f64,
 }
 
-/// The sessions held, and what is counted of them.
+/// The active sessions with their counts and indexes.
 #[derive(Default)]
 pub(crate) struct SessionIndex {
     sessions: BTreeMap<SessionId, ActiveSession>,
     pub by_class: BTreeMap<usize, usize>,
     pub by_title: BTreeMap<TitleId, usize>,
     pub by_tenant: BTreeMap<usize, TenantUsage>,
-    /// Rate of all sessions that have a tenant, kB a second.
+    /// Sum of the rates of all sessions that have a tenant, kB/s.
     pub tenants_rate_kb_s: f64,
     pub by_send_time: SessionsByTime,
     pub by_server: BTreeMap<ServerId, SessionsByTime>,
-    /// Sessions at a server that do not play: sent and not over.
+    /// Number of sessions per server whose attempt is in flight.
     pub not_playing: BTreeMap<ServerId, usize>,
-    /// Sessions that play, by when they may be reconsidered.
+    /// Playing sessions by group, ordered by when they may be reconsidered.
     pub playing: BTreeMap<SessionGroup, SessionsByTime>,
 }
 
 impl SessionIndex {
-    /// Number of sessions held.
+    /// Number of sessions.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// The session of this id.
+    /// The session with this id.
     pub fn get(&self, id: SessionId) -> Option<&ActiveSession> {
         self.sessions.get(&id)
     }
 
-    /// Whether a session of this id is held.
+    /// Whether there is a session with this id.
     pub fn contains(&self, id: SessionId) -> bool {
         self.sessions.contains_key(&id)
     }
@@ -155,33 +158,33 @@
         self.sessions.values()
     }
 
-    /// Enters a session.
+    /// Adds a session.
     pub fn insert(&mut self, session: ActiveSession) {
         self.update_counts(&session, true);
         self.sessions.insert(session.pending.request.session, session);
     }
 
-    /// Takes a session out.
+    /// Removes a session.
     pub fn remove(&mut self, id: SessionId) -> Option<ActiveSession> {
         let session = self.sessions.remove(&id)?;
         self.update_counts(&session, false);
         Some(session)
     }
 
-    /// Changes a session, if it is held.
+    /// Changes a session, if it exists.
     pub fn update(&mut self, id: SessionId, change: impl FnOnce(&mut ActiveSession)) {
         let Some(mut session) = self.remove(id) else { return };
         change(&mut session);
         self.insert(session);
     }
 
-    /// The groups that play at a server.
+    /// The groups of sessions that play at a server.
     pub fn groups_at(&self, server: ServerId) -> impl Iterator<Item = (&SessionGroup, &SessionsByTime)> {
         let first = SessionGroup { server, class: 0, rung: 0, highest_rung: 0, tenant: None };
         self.playing.range(first..).take_while(move |(group, _)| group.server == server)
     }
 
-    /// Enters a session into every count, or takes it out.
+    /// Adds a session to every count and index, or removes it.
     fn update_counts(&mut self, session: &ActiveSession, is_entering: bool) {
         let request = &session.pending.request;
         let server = session.server;
@@ -214,14 +217,15 @@
         if usage.sessions == 0 {
             self.by_tenant.remove(&tenant);
         }
-        // Sums of rates that came and went stray by rounding; nothing held is exactly nothing.
+        // Adding and subtracting rates accumulates rounding errors, so the sum is reset when no sessions are
+        // left.
         if self.by_tenant.is_empty() {
             self.tenants_rate_kb_s = 0.0;
         }
     }
 }
 
-/// Counts one more or one less of a key; a key without any goes.
+/// Increments or decrements a key's count; a key with count 0 is removed.
 fn update_count<K: Ord + Copy>(counts: &mut BTreeMap<K, usize>, key: K, is_entering: bool) {
     let count = counts.entry(key).or_default();
     *count = if is_entering { *count + 1 } else { count.saturating_sub(1) };
@@ -230,7 +234,7 @@
     }
 }
 
-/// Enters a session into a key's set or takes it out; an empty set goes.
+/// Adds a session to a key's set or removes it; an empty set is removed.
 fn update_set<K: Ord + Copy>(
     sets: &mut BTreeMap<K, SessionsByTime>,
     key: K,
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,9 +1,9 @@
-//! Instants and lengths of time, in whole microseconds.
+//! Timestamps and durations in whole microseconds.
 //!
-//! The state machines of this workspace keep no clock: each call is told the time. The two types keep an instant
-//! from being added to an instant, or compared with a length of time. Both are signed, since a difference may be
-//! negative, and arithmetic is that of `i64`. Text, wire and stored formats convert by `from_micros` and
-//! `as_micros`.
+//! The state machines of this workspace read no clock: each call takes the current time as an argument. The
+//! two types prevent adding two timestamps and comparing a timestamp with a duration. Both are signed, since
+//! a difference may be negative, and arithmetic is that of `i64`. Text, wire and stored formats convert with
+//! `from_micros` and `as_micros`.
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Div, Mul, Neg, Rem, Sub, SubAssign};
@@ -11,11 +11,11 @@
 const MICROS_PER_MILLI: i64 = 1_000;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// A point on the caller's clock. The clock may start anywhere, but never runs backwards.
+/// A point in time of the caller's clock, which may start at any value but must not go backwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(i64);
 
-/// A length of time, or the signed difference of two timestamps.
+/// A duration, or the signed difference of two timestamps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimeDelta(i64);
 
@@ -25,7 +25,7 @@
     /// The latest timestamp.
     pub const MAX: Timestamp = Timestamp(i64::MAX);
 
-    /// A timestamp so many microseconds after the clock's zero.
+    /// The timestamp this number of microseconds after the clock's zero.
     pub const fn from_micros(micros: i64) -> Timestamp {
         Timestamp(micros)
     }
@@ -35,59 +35,59 @@
         self.0
     }
 
-    /// The last multiple of `step` that is not later (for timestamps from the clock's zero on).
+    /// The latest multiple of `step` that is not later than this timestamp, which must not be negative.
     pub const fn round_down(self, step: TimeDelta) -> Timestamp {
         Timestamp(self.0 - self.0 % step.0)
     }
 
-    /// As `+`, but stays at the ends of the range.
+    /// Adds a duration, saturating at the numeric bounds.
     pub const fn saturating_add(self, delta: TimeDelta) -> Timestamp {
         Timestamp(self.0.saturating_add(delta.0))
     }
 }
 
 impl TimeDelta {
-    /// No time at all.
+    /// The zero duration.
     pub const ZERO: TimeDelta = TimeDelta(0);
-    /// The longest length of time.
+    /// The longest duration.
     pub const MAX: TimeDelta = TimeDelta(i64::MAX);
 
-    /// A length of so many microseconds.
+    /// A duration in microseconds.
     pub const fn from_micros(micros: i64) -> TimeDelta {
         TimeDelta(micros)
     }
 
-    /// A length of so many milliseconds.
+    /// A duration in milliseconds.
     pub const fn from_millis(millis: i64) -> TimeDelta {
         TimeDelta(millis * MICROS_PER_MILLI)
     }
 
-    /// A length of so many seconds.
+    /// A duration in seconds.
     pub const fn from_secs(seconds: i64) -> TimeDelta {
         TimeDelta(seconds * MICROS_PER_SECOND)
     }
 
-    /// The length in microseconds.
+    /// This duration in microseconds.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 
-    /// The length in whole milliseconds, rounded towards zero.
+    /// This duration in whole milliseconds, rounded towards zero.
     pub const fn as_millis(self) -> i64 {
         self.0 / MICROS_PER_MILLI
     }
 
-    /// The length in seconds.
+    /// This duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// As `+`, but stays at the ends of the range.
+    /// Adds two durations, saturating at the numeric bounds.
     pub const fn saturating_add(self, other: TimeDelta) -> TimeDelta {
         TimeDelta(self.0.saturating_add(other.0))
     }
 
-    /// As `*`, but stays at the ends of the range.
+    /// Multiplies by a factor, saturating at the numeric bounds.
     pub const fn saturating_mul(self, factor: i64) -> TimeDelta {
         TimeDelta(self.0.saturating_mul(factor))
     }
