--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -1,4 +1,4 @@
-//! The layout of a datagram, and the keyed hash over it.
+//! The layout of a datagram and its keyed hash.
 //!
 //! All numbers are big-endian:
 //!
@@ -6,37 +6,37 @@
 //! | --- | --- |
 //! | 1 | version, 1 |
 //! | 8 | sender: hash of its name |
-//! | 8 | its incarnation |
-//! | 8 | its sequence number of this datagram, from 1 |
-//! | 8 | the receiver's token as the sender knows it; 0: none yet |
-//! | 8 | the sender's token for the receiver |
-//! | | content; empty in a greeting |
-//! | 16 | keyed hash of all before it |
+//! | 8 | the sender's incarnation |
+//! | 8 | the sender's sequence number of this datagram, from 1 |
+//! | 8 | the last token that the receiver issued to the sender; 0: none yet |
+//! | 8 | the token that the sender issues to the receiver |
+//! | | content; empty in a challenge |
+//! | 16 | keyed hash of all preceding bytes |
 
 use crate::keys::{FleetKey, PeerId, leading_number};
 
 const VERSION: u8 = 1;
-/// The version and five numbers.
+/// Length of the version and the five numbers.
 const HEADER_BYTES: usize = 1 + 5 * NUMBER_BYTES;
 const NUMBER_BYTES: usize = 8;
 const HASH_BYTES: usize = 16;
-/// Bytes of a datagram at most: it passes any link in one piece.
+/// Maximum size of a datagram, small enough not to be fragmented on common links.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Bytes of the content at most.
+/// Maximum size of the content.
 pub const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - HASH_BYTES;
 
-/// Why bytes are no datagram of this fleet.
+/// Why bytes are not a valid datagram of this fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// Too short, too long, or of another version.
-    #[error("not a datagram of this version")]
+    #[error("datagram has an invalid length or an unknown version")]
     Malformed,
     /// Not sealed with the fleet's key.
-    #[error("not sealed with this fleet's key")]
+    #[error("datagram is not sealed with this fleet's key")]
     NotOfThisFleet,
 }
 
-/// What a datagram says before its content.
+/// The header of a datagram, without the version.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Header {
     pub sender: PeerId,
@@ -46,7 +46,7 @@
     pub sender_token: u64,
 }
 
-/// A datagram of a header and a content, sealed by the fleet's key.
+/// Encodes a datagram with this header and content and seals it with the fleet's key.
 pub(crate) fn encode(key: &FleetKey, header: &Header, content: &[u8]) -> Vec<u8> {
     let mut datagram = Vec::with_capacity(HEADER_BYTES + content.len() + HASH_BYTES);
     datagram.push(VERSION);
@@ -66,7 +66,7 @@
     datagram
 }
 
-/// The header and the content of a datagram that the fleet's key has sealed.
+/// Verifies a datagram's seal and returns its header and content.
 pub(crate) fn decode<'a>(
     key: &FleetKey,
     datagram: &'a [u8],
@@ -92,7 +92,7 @@
     Ok((header, content))
 }
 
-/// Compares the leading bytes of a hash in constant time, as [`blake3::Hash`] compares.
+/// Compares the leading bytes of a hash in constant time, by the comparison of [`blake3::Hash`].
 fn matches_hash(expected: &blake3::Hash, leading: &[u8]) -> bool {
     let mut found = *expected.as_bytes();
     found[..HASH_BYTES].copy_from_slice(leading);
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -1,6 +1,6 @@
-//! The fleet's key, and how directors name each other in datagrams.
+//! The fleet's key, and the ids of directors in datagrams.
 
-/// The first eight bytes as a number.
+/// The first eight bytes as a big-endian number.
 pub(crate) fn leading_number(bytes: &[u8]) -> u64 {
     bytes
         .iter()
@@ -8,12 +8,12 @@
         .fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
 
-/// A director, by the hash of its name.
+/// Id of a director: the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(u64);
 
 impl PeerId {
-    /// The director of a name.
+    /// The id of the director with this name.
     pub fn of_name(name: &str) -> PeerId {
         PeerId(leading_number(blake3::hash(name.as_bytes()).as_bytes()))
     }
@@ -32,8 +32,8 @@
 pub struct FleetKey([u8; 32]);
 
 impl FleetKey {
-    /// Derived from the settings' key and the fleet's name: two fleets that share a key by mistake are strangers all
-    /// the same.
+    /// Derives the key from the configured key and the fleet's name, so that two fleets configured with the same key
+    /// by mistake still reject each other's datagrams.
     pub fn new(key: &[u8; 32], fleet: &str) -> FleetKey {
         FleetKey(*blake3::keyed_hash(key, fleet.as_bytes()).as_bytes())
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which directors are in the fleet, by SWIM over sealed datagrams.
+//! Membership of the fleet's directors, by the SWIM protocol over sealed datagrams.
 //!
-//! [`membership`] is the entry point: a state machine that takes datagrams and times and gives datagrams to send and
-//! changes of the fleet. [`member`] is what directors know of each other. Every datagram is sealed by [`sealer`],
-//! which keeps out strangers and replays; [`datagram`] is the layout, [`keys`] the fleet's key and peers' ids, and
-//! `replay_window` what is remembered of a sender's sequence numbers.
+//! [`membership`] is the entry point: a state machine that takes datagrams and timeouts and returns datagrams to send
+//! and changes of the membership. [`member`] describes a director to the others. [`sealer`] authenticates every
+//! datagram and rejects replays; [`datagram`] defines the layout, [`keys`] the fleet's key and the ids of peers, and
+//! `replay_window` tracks the sequence numbers of a sender.
 //!
-//! This crate opens no socket, reads no clock and draws no random numbers: the caller does. It decides nothing about
-//! sessions. The design, and what is still to be built on it, is in `docs/members.md`.
+//! This crate opens no sockets, reads no clock and takes its random seed from the caller. It makes no decisions about
+//! sessions. The design and the planned next steps are in `docs/members.md`.
 
 #![deny(missing_docs)]
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,17 +1,17 @@
-//! A director as the others know it.
+//! The description of a director that members exchange.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A director. The order of the fields is that of the datagrams.
+/// A director in the fleet. The order of the fields is that of the encoding in datagrams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its name in the fleet.
     pub name: String,
-    /// Grows with each start of the process, and when a running one was declared down.
+    /// Increases with each start of the process, and when a running process was declared down.
     pub incarnation: u64,
-    /// Where it takes datagrams.
+    /// Address at which it receives datagrams.
     pub address: SocketAddr,
     /// The zone that it runs in.
     pub zone: String,
@@ -19,7 +19,7 @@
     pub region: String,
 }
 
-/// Of two members of one name the one with the higher incarnation is in the fleet.
+/// Of two members with the same name, the one with the higher incarnation is in the fleet.
 impl Identity for Member {
     type Addr = String;
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,9 +1,9 @@
-//! The membership of one director: SWIM, by `foca`, over sealed datagrams.
+//! The membership state machine of one director: SWIM, implemented by `foca`, over sealed datagrams.
 //!
-//! A state machine without I/O: inputs come with the time; outputs and the next timeout are polled. A director that
-//! is declared down while it runs comes back under a higher incarnation by itself, so a long pause costs one round.
-//! Of two processes under one name the one with the higher incarnation is the member; the other is told by
-//! [`Output::NameConflict`] and has to end.
+//! It does no I/O: inputs are passed with the current time; outputs and the next timeout are polled. A director that
+//! is declared down while it runs rejoins by itself under a higher incarnation, so a long pause costs one round of the
+//! protocol. Of two processes with the same name, the one with the higher incarnation is the member; the other
+//! receives [`Output::NameConflict`] and has to exit.
 
 use crate::datagram::MAX_CONTENT_BYTES;
 use crate::keys::{FleetKey, PeerId};
@@ -21,59 +21,59 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-/// A datagram that a peer refused for want of a token is sent again with its greeting, if that comes within this.
+/// A datagram rejected for a missing or expired token is resent if the peer's challenge arrives within this time.
 const RESEND_WINDOW: TimeDelta = TimeDelta::from_secs(1);
-/// How often seeds are asked while no member is known.
+/// Interval at which the seeds are contacted while no member is known.
 const SEED_RETRY_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
-/// How often members that are believed down are greeted, two at a time: the halves of a fleet that was cut find each
-/// other by it, and it costs less than a datagram a second while any is down.
-const DOWN_MEMBER_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which members that are considered down are contacted, two at a time. This reunites the halves of a
+/// fleet after a network partition, at the cost of less than one datagram per second while any member is down.
+const DOWN_MEMBER_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the caller is to do, or has to know.
+/// A request or a notification for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// A datagram is to be sent.
+    /// Send a datagram.
     Send {
         /// The receiver.
         to: SocketAddr,
         /// The sealed datagram.
         bytes: Vec<u8>,
     },
-    /// A member is in the fleet.
+    /// A member has joined the fleet.
     MemberUp(Member),
-    /// A member has left, or is believed down.
+    /// A member has left, or is considered down.
     MemberDown(Member),
-    /// Another process runs under this one's name. The one with the lower incarnation has to end.
+    /// Another process uses this one's name. The one with the lower incarnation has to exit.
     NameConflict {
-        /// The other's incarnation.
+        /// The incarnation of the other process.
         incarnation: u64,
     },
 }
 
-/// A director that is asked for the fleet at the start.
+/// A director that is contacted to join the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seed {
     /// Its name in the fleet.
     pub name: String,
-    /// Where it takes datagrams.
+    /// Address at which it receives datagrams.
     pub address: SocketAddr,
 }
 
-/// What a director begins with.
+/// Initial configuration of a membership.
 pub struct MembershipConfig {
     /// This director.
     pub own: Member,
     /// The fleet's key.
     pub key: FleetKey,
-    /// Random bytes, drawn anew at each start.
+    /// Random bytes, different at each start.
     pub secret: [u8; 32],
-    /// Directors that the settings name: the pace of suspicion and gossip follows from their number.
+    /// Number of directors in the settings, from which the intervals of failure detection and gossip are derived.
     pub expected_members: NonZeroU32,
-    /// May hold this director itself.
+    /// Directors to contact; may contain this director itself.
     pub seeds: Vec<Seed>,
 }
 
-/// A datagram as it was before it was sealed.
+/// A sent datagram before it was sealed, to be resent after a challenge.
 struct SentDatagram {
     at: Timestamp,
     to: SocketAddr,
@@ -88,13 +88,13 @@
     timers: Timers<Timer<Member>, Timestamp>,
     seeds: Vec<Seed>,
     next_seed_retry: Timestamp,
-    /// The last datagram to each peer, for as long as it may have to be sent again.
+    /// The last datagram to each peer, kept for [`RESEND_WINDOW`].
     last_sent: BTreeMap<PeerId, SentDatagram>,
     outputs: VecDeque<Output>,
 }
 
 impl Membership {
-    /// Begins, and asks the seeds.
+    /// Creates the membership and contacts the seeds.
     pub fn new(config: MembershipConfig, now: Timestamp) -> Membership {
         let own = config.own;
         let sealer = Sealer::new(config.key, &own.name, own.incarnation, config.secret);
@@ -114,35 +114,35 @@
         membership
     }
 
-    /// Members that are believed alive, without this one.
+    /// Members that are considered alive, without this one.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.foca.iter_members().map(|member| member.id())
     }
 
-    /// This director's incarnation, higher than at the start if it was declared down meanwhile.
+    /// This director's incarnation; higher than at the start if it was declared down in the meantime.
     pub fn incarnation(&self) -> u64 {
         self.foca.identity().incarnation
     }
 
-    /// What is to be done next, until there is nothing more.
+    /// The next output; `None` if there are no more.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When to call [`Membership::handle_timeout`].
+    /// Time of the next call to [`Membership::handle_timeout`].
     pub fn poll_timeout(&self) -> Option<Timestamp> {
         let timer = self.timers.next_due();
         let seed_retry = self.needs_seeds().then_some(self.next_seed_retry);
         timer.into_iter().chain(seed_retry).min()
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn handle_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         match self.sealer.open(now, bytes) {
             Ok(opened) => self.handle_opened(now, &opened),
-            Err(OpenError::InvalidToken { greeting }) => self.outputs.push_back(Output::Send {
+            Err(OpenError::InvalidToken { challenge }) => self.outputs.push_back(Output::Send {
                 to: from,
-                bytes: greeting,
+                bytes: challenge,
             }),
             Err(OpenError::NameConflict { incarnation }) => {
                 self.outputs.push_back(Output::NameConflict { incarnation });
@@ -153,29 +153,29 @@
 
     fn handle_opened(&mut self, now: Timestamp, opened: &OpenedDatagram<'_>) {
         if opened.content.is_empty() {
-            self.resend_after_greeting(now, opened.sender);
+            self.resend_after_challenge(now, opened.sender);
             return;
         }
-        // A content that foca can't read changes nothing.
+        // Content that foca cannot decode is ignored.
         let _ = self.foca.handle_data(opened.content, &mut self.runtime);
         self.drain_runtime(now);
     }
 
-    /// A peer that refused a datagram has sent its token: what it refused is sent again.
-    fn resend_after_greeting(&mut self, now: Timestamp, peer: PeerId) {
+    /// Resends the last datagram to a peer that rejected it and has sent a token in its challenge.
+    fn resend_after_challenge(&mut self, now: Timestamp, peer: PeerId) {
         let Some(sent) = self.last_sent.remove(&peer) else {
             return;
         };
         if now - sent.at <= RESEND_WINDOW {
-            // It fitted into a datagram before.
+            // Cannot fail: the content fitted into a datagram before.
             let _ = self.send(now, peer, sent.to, &sent.content);
         }
     }
 
-    /// Does what is due.
+    /// Handles all timers that are due.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         while let Some(timer) = self.timers.pop_due(now) {
-            // An error is a timer that is of no use any more.
+            // An error means that the timer is obsolete.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
             self.drain_runtime(now);
         }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Whether no member is known, and seeds are to be asked.
+    /// Whether the seeds have to be contacted, since no member is known.
     fn needs_seeds(&self) -> bool {
         !self.seeds.is_empty() && self.foca.num_members() == 0
     }
@@ -203,19 +203,19 @@
                 zone: String::new(),
                 region: String::new(),
             };
-            // An error is a message that does not fit; the seed is asked again later.
+            // An error means that the message is too long; the seed is contacted again later.
             let _ = self.foca.announce(member, &mut self.runtime);
         }
     }
 
-    /// Leaves the fleet, and tells the others.
+    /// Leaves the fleet and notifies the other members.
     pub fn leave(&mut self, now: Timestamp) {
-        // An error is a member that has left before.
+        // An error means that the member has already left.
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.drain_runtime(now);
     }
 
-    /// Carries out what foca has asked for.
+    /// Processes foca's timers, messages and notifications.
     fn drain_runtime(&mut self, now: Timestamp) {
         while let Some((delay, timer)) = self.runtime.to_schedule() {
             let due = now + time_delta(delay);
@@ -223,7 +223,7 @@
         }
         while let Some((member, content)) = self.runtime.to_send() {
             let peer = PeerId::of_name(&member.name);
-            // foca is configured to make no content that is too long.
+            // foca is configured not to produce longer content than a datagram can carry.
             if self.send(now, peer, member.address, &content).is_ok() {
                 self.remember_sent(now, peer, member.address, content.to_vec());
             }
@@ -269,12 +269,12 @@
     let mut config = Config::new_lan(expected_members);
     config.max_packet_size = NonZeroUsize::new(MAX_CONTENT_BYTES).unwrap_or(NonZeroUsize::MIN);
     if let Some(down) = &mut config.periodic_announce_to_down_members {
-        down.frequency = DOWN_MEMBER_RETRY_INTERVAL;
+        down.frequency = DOWN_MEMBER_ANNOUNCE_INTERVAL;
     }
     config
 }
 
-/// A length of time that is too long to be counted counts as half of the longest, so that it can be added to a time.
+/// Converts a duration. One that is out of range becomes half of the longest, so that it can be added to a timestamp.
 fn time_delta(duration: Duration) -> TimeDelta {
     let micros = i64::try_from(duration.as_micros()).unwrap_or(i64::MAX / 2);
     TimeDelta::from_micros(micros)
--- a/crates/membership/src/sealer.rs
+++ b/crates/membership/src/sealer.rs
@@ -1,12 +1,12 @@
-//! Seals the datagrams of one process and opens those of its peers, so that strangers, other fleets and replays
-//! change nothing.
+//! Seals the datagrams of one process and opens those of its peers. Datagrams of unknown senders or other fleets, and
+//! replays, are rejected without effect.
 //!
-//! Every datagram ends with a keyed hash over all of it; the key is derived from the settings' key and the fleet's
-//! name. That keeps strangers out, but not a datagram that was caught and is sent again, and time stamps can't tell,
-//! since clocks may jump. So each process gives each peer a token that only it and the present period can have made,
-//! and takes nothing without it. Within the life of a token a replay is known by its sequence number. A datagram
-//! without a valid token is answered with a greeting, which tells the token, is no longer than any datagram, and
-//! changes nothing.
+//! Every datagram ends with a keyed hash of all preceding bytes; the key is derived from the configured key and the
+//! fleet's name. This authenticates the sender, but does not detect a replay of a recorded datagram. Timestamps cannot
+//! detect it either, since clocks may jump. So each process issues a token to each peer, derived from its own secret
+//! and the current period, and rejects datagrams without a valid token. While a token is valid, replays are detected by
+//! sequence number. A datagram without a valid token is answered with a challenge that carries the token. The challenge
+//! has no content, so it is never longer than the datagram that it answers, and it changes no state.
 
 use crate::datagram::{self, DecodeError, Header, MAX_CONTENT_BYTES};
 use crate::keys::{self, FleetKey, PeerId};
@@ -14,62 +14,62 @@
 use shalewall::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// How long a token is given out; it is taken for as long again.
+/// Length of the period in which a token is issued. It is accepted in the following period as well.
 pub const TOKEN_PERIOD: TimeDelta = TimeDelta::from_secs(60);
-/// Peers that are known at once: more than a fleet has. Only who has the key can fill it.
+/// Maximum number of peers on record, more than a fleet has. Only senders with the key can reach it.
 pub const MAX_PEERS: usize = 2048;
 
-/// A datagram that was opened.
+/// An opened datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
-    /// Who sent it.
+    /// Its sender.
     pub sender: PeerId,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// Empty in a greeting.
+    /// Its content; empty in a challenge.
     pub content: &'a [u8],
 }
 
-/// A content that is longer than [`MAX_CONTENT_BYTES`].
+/// The content of a datagram is longer than [`MAX_CONTENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a content of {bytes} bytes does not fit into a datagram: {MAX_CONTENT_BYTES} at most")]
+#[error("datagram content has {bytes} bytes, but the maximum is {MAX_CONTENT_BYTES}")]
 pub struct ContentTooLong {
-    /// Its length.
+    /// Length of the content.
     pub bytes: usize,
 }
 
-/// Why a datagram was not opened, and has changed nothing.
+/// Why a datagram was rejected, without effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// It is not one of this fleet's.
+    /// It is not a valid datagram of this fleet.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// Opened before, or of a process that a later one of the same name has replaced.
-    #[error("a replay, or of a process that was replaced")]
+    /// It was opened before, or its sender was replaced by a later process with the same name.
+    #[error("datagram is a replay or its sender's incarnation is outdated")]
     Replayed,
-    /// Another process has this one's name.
-    #[error("another process, of incarnation {incarnation}, has this one's name")]
+    /// Another process uses this one's name.
+    #[error("another process with incarnation {incarnation} uses this process's name")]
     NameConflict {
-        /// The other's incarnation.
+        /// The incarnation of the other process.
         incarnation: u64,
     },
-    /// Its sender does not know the present token.
-    #[error("without a valid token")]
+    /// It does not carry a current token.
+    #[error("datagram carries no valid token")]
     InvalidToken {
-        /// The datagram that tells the token, to be sent back.
-        greeting: Vec<u8>,
+        /// The datagram with the token, to be sent back.
+        challenge: Vec<u8>,
     },
-    /// There are [`MAX_PEERS`] others.
-    #[error("too many peers")]
+    /// There are already [`MAX_PEERS`] peers on record.
+    #[error("the maximum of {MAX_PEERS} peers is reached")]
     TooManyPeers,
 }
 
-/// What is known of a peer.
+/// The state of a peer.
 struct Peer {
     incarnation: u64,
     replays: ReplayWindow,
     last_opened: Timestamp,
-    /// The token that it wants to read on datagrams to it.
+    /// The token that it has issued; datagrams to it must carry it.
     token: u64,
 }
 
@@ -78,14 +78,14 @@
     key: FleetKey,
     own: PeerId,
     incarnation: u64,
-    /// What its tokens are made with.
+    /// Secret from which the tokens are derived.
     secret: [u8; 32],
     last_sequence: u64,
     peers: BTreeMap<PeerId, Peer>,
 }
 
 impl Sealer {
-    /// `incarnation` grows with each start of this name; `secret` is drawn anew at each.
+    /// `incarnation` must increase with each start under this name, and `secret` must differ at each start.
     pub fn new(key: FleetKey, name: &str, incarnation: u64, secret: [u8; 32]) -> Sealer {
         Sealer {
             key,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A datagram to a peer.
+    /// Seals a datagram to a peer.
     pub fn seal(
         &mut self,
         now: Timestamp,
@@ -137,7 +137,7 @@
         keys::leading_number(hash.as_bytes()).max(1)
     }
 
-    /// Opens a datagram. Only one that is opened changes anything.
+    /// Opens a datagram. A rejected one does not change any peer's state.
     pub fn open<'a>(
         &mut self,
         now: Timestamp,
@@ -148,8 +148,8 @@
             return Err(self.own_name_error(header.incarnation));
         }
         if !self.is_token_valid(&header, now) {
-            let greeting = self.encode(now, header.sender, header.sender_token, &[]);
-            return Err(OpenError::InvalidToken { greeting });
+            let challenge = self.encode(now, header.sender, header.sender_token, &[]);
+            return Err(OpenError::InvalidToken { challenge });
         }
         self.accept_from_peer(&header, now)?;
         Ok(OpenedDatagram {
@@ -159,7 +159,7 @@
         })
     }
 
-    /// A datagram under this process's own name is its own, sent back, or of another process.
+    /// The error for a datagram under this process's own name: its own, sent back, or that of another process.
     fn own_name_error(&self, incarnation: u64) -> OpenError {
         if incarnation == self.incarnation {
             OpenError::Replayed
@@ -175,9 +175,9 @@
             .any(|period| header.receiver_token == self.token(header.sender, period))
     }
 
-    /// Records a datagram of a peer, unless it is a replay.
+    /// Records a peer's datagram, unless it is a replay.
     fn accept_from_peer(&mut self, header: &Header, now: Timestamp) -> Result<(), OpenError> {
-        // A datagram under an expired token is refused for that, so its sequence number need not be known any longer.
+        // Datagrams with an expired token are rejected anyway, so older sequence numbers need not be tracked.
         self.peers
             .retain(|_, peer| now - peer.last_opened < TOKEN_PERIOD * 2);
         if !self.peers.contains_key(&header.sender) && self.peers.len() >= MAX_PEERS {
@@ -204,13 +204,13 @@
         Ok(())
     }
 
-    /// How many peers' datagrams were opened lately.
+    /// Number of peers with a recently opened datagram.
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 }
 
-/// The number of the period that a time is in.
+/// Index of the token period that contains a time.
 fn token_period(now: Timestamp) -> i64 {
     now.as_micros() / TOKEN_PERIOD.as_micros()
 }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Fleets in simulated time: starts, deaths, pauses, restarts and cuts.
+//! Membership of simulated fleets: starts, crashes, pauses, restarts and network partitions.
 
 mod simulated_fleet;
 
@@ -7,14 +7,14 @@
 use simulated_fleet::{Fleet, MILLISECOND, SECOND, start_director};
 
 #[test]
-fn directors_that_start_at_once_find_each_other_though_a_seed_is_dead() {
+fn directors_that_start_together_find_each_other_with_a_dead_seed() {
     for size in [3, 12, 40] {
         let mut fleet = Fleet::new(size, 0.0);
         let all: Vec<_> = (0..size).collect();
         let took = fleet.converge(&all, SECOND * 20);
         assert!(took.is_some(), "{size}: {:?}", fleet.known_counts(&all));
         assert!(fleet.downs.is_empty(), "{:?}", fleet.downs);
-        // What it costs once all is quiet does not grow with the fleet.
+        // The steady-state traffic of each director does not grow with the fleet.
         fleet.advance(SECOND * 30);
         let before = fleet.sent;
         let seconds = 20;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_death_is_known_to_all_and_nobody_else_is_accused() {
+fn all_members_detect_a_crash_without_false_positives() {
     let mut fleet = Fleet::new(12, 0.05);
     let all: Vec<_> = (0..12).collect();
     assert!(fleet.converge(&all, SECOND * 30).is_some());
@@ -79,20 +79,20 @@
     }
 }
 
-/// Half of the fleet cannot reach the other for 30 s. Each side goes on by itself; after it they find each other without a seed
-/// being asked, and without a storm.
+/// Half of the fleet cannot reach the other for 30 s. Each side continues on its own. After the partition heals, they
+/// find each other without contacting a seed and without a burst of datagrams.
 #[test]
-fn halves_of_a_cut_fleet_find_each_other_again_without_a_storm() {
+fn halves_of_a_partitioned_fleet_find_each_other_without_a_burst() {
     let mut fleet = Fleet::new(12, 0.0);
     let all: Vec<_> = (0..12).collect();
     assert!(fleet.converge(&all, SECOND * 20).is_some());
-    fleet.cut = Some(6);
+    fleet.partition = Some(6);
     fleet.advance(SECOND * 30);
     assert!(
         fleet.all_know_each_other(&all[..6]) && fleet.all_know_each_other(&all[6..]),
-        "each side knows itself"
+        "each side knows exactly its own members"
     );
-    fleet.cut = None;
+    fleet.partition = None;
     let begun = fleet.now;
     let mut most_in_a_second = 0;
     while !fleet.all_know_each_other(&all) {
@@ -116,8 +116,8 @@
     );
 }
 
-/// Fleets of mixed versions have to understand each other: the datagrams of one start, and those in flight over 20 s
-/// of a fleet of five that loses a tenth, as the code of commit 7a79dca wrote them.
+/// Fleets of mixed versions must interoperate. Compares the datagrams of one start, and those in flight over 20 s in a
+/// fleet of five with 10% loss, with those that commit 7a79dca wrote.
 #[test]
 fn datagrams_are_byte_for_byte_as_they_were() {
     let mut member = start_director(3, 2, Timestamp::ZERO + SECOND * 5, 8);
--- a/crates/membership/tests/sealer.rs
+++ b/crates/membership/tests/sealer.rs
@@ -1,4 +1,4 @@
-//! Datagrams that must change nothing, and those that must pass.
+//! Which datagrams are accepted, and which are rejected without effect.
 
 use proptest::prelude::*;
 use shalewall::{TimeDelta, Timestamp};
@@ -21,37 +21,37 @@
     )
 }
 
-/// Two that have greeted each other.
-fn greeted_pair() -> (Sealer, Sealer) {
+/// Two peers that have exchanged tokens.
+fn pair_with_tokens() -> (Sealer, Sealer) {
     let (mut a, mut b) = (sealer("a", 1), sealer("b", 1));
-    greet(&mut a, &mut b);
+    exchange_tokens(&mut a, &mut b);
     (a, b)
 }
 
-/// From nothing known: the first datagram is refused, the greeting tells the token, the next is taken.
-fn greet(a: &mut Sealer, b: &mut Sealer) {
+/// The first datagram is rejected, the challenge carries the token, and the next datagram is accepted.
+fn exchange_tokens(a: &mut Sealer, b: &mut Sealer) {
     let first = a.seal(START, PeerId::of_name("b"), b"join").unwrap();
-    let Err(OpenError::InvalidToken { greeting }) = b.open(START, &first) else {
-        panic!("taken without a token")
+    let Err(OpenError::InvalidToken { challenge }) = b.open(START, &first) else {
+        panic!("accepted without a token")
     };
-    assert!(greeting.len() <= first.len(), "a greeting is no lever");
-    assert!(a.open(START, &greeting).unwrap().content.is_empty());
+    assert!(challenge.len() <= first.len(), "no traffic amplification");
+    assert!(a.open(START, &challenge).unwrap().content.is_empty());
     let next = a.seal(START, PeerId::of_name("b"), b"join").unwrap();
     assert_eq!(b.open(START, &next).unwrap().content, b"join");
 }
 
 #[test]
 fn replays_change_nothing() {
-    let (mut a, mut b) = greeted_pair();
+    let (mut a, mut b) = pair_with_tokens();
     let datagram = a.seal(START, PeerId::of_name("b"), b"alive").unwrap();
     assert!(b.open(START, &datagram).is_ok());
     assert_eq!(b.open(START, &datagram), Err(OpenError::Replayed));
-    // Later, when b knows nothing of a any more: the token is over.
+    // Later, when b has removed a and the token has expired.
     assert!(matches!(
         b.open(START + TOKEN_PERIOD * 3, &datagram),
         Err(OpenError::InvalidToken { .. })
     ));
-    // And by a b that has begun anew.
+    // After a restart of b.
     let mut b = sealer("b", 2);
     assert!(matches!(
         b.open(START, &datagram),
@@ -62,7 +62,7 @@
 
 #[test]
 fn sequence_numbers_out_of_order_are_accepted_once_each() {
-    let (mut a, mut b) = greeted_pair();
+    let (mut a, mut b) = pair_with_tokens();
     let datagrams: Vec<_> = (0..70)
         .map(|_| a.seal(START, PeerId::of_name("b"), b"x").unwrap())
         .collect();
@@ -71,7 +71,7 @@
         assert_eq!(
             b.open(START, datagram).is_ok(),
             n > 5,
-            "{n}: 64 are remembered"
+            "{n}: 64 sequence numbers are tracked"
         );
         assert_eq!(b.open(START, datagram), Err(OpenError::Replayed));
     }
@@ -79,9 +79,9 @@
 
 #[test]
 fn a_higher_incarnation_replaces_a_lower() {
-    let (mut a, mut b) = greeted_pair();
+    let (mut a, mut b) = pair_with_tokens();
     let late = a.seal(START, PeerId::of_name("b"), b"late").unwrap();
-    greet(&mut sealer("a", 2), &mut b);
+    exchange_tokens(&mut sealer("a", 2), &mut b);
     assert_eq!(b.open(START, &late), Err(OpenError::Replayed));
     let other = sealer("a", 9)
         .seal(START, PeerId::of_name("a"), b"")
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn another_fleet_with_the_same_key_is_refused() {
+fn a_datagram_of_another_fleet_with_the_same_key_is_rejected() {
     let mut other = Sealer::new(key("g"), "a", 1, [1; 32]);
     let datagram = other.seal(START, PeerId::of_name("b"), b"x").unwrap();
     assert_eq!(
@@ -107,15 +107,15 @@
     let mut b = sealer("b", 1);
     for n in 0..MAX_PEERS {
         let name = format!("a{n}");
-        greet(&mut sealer(&name, 1), &mut b);
+        exchange_tokens(&mut sealer(&name, 1), &mut b);
     }
     let mut one = sealer("z", 1);
-    let Err(OpenError::InvalidToken { greeting }) =
+    let Err(OpenError::InvalidToken { challenge }) =
         b.open(START, &one.seal(START, PeerId::of_name("b"), b"").unwrap())
     else {
         panic!()
     };
-    one.open(START, &greeting).unwrap();
+    one.open(START, &challenge).unwrap();
     assert_eq!(
         b.open(START, &one.seal(START, PeerId::of_name("b"), b"").unwrap()),
         Err(OpenError::TooManyPeers)
@@ -133,8 +133,8 @@
 proptest! {
     /// Any bytes, and any sealed datagram with one byte changed or cut short, change nothing.
     #[test]
-    fn bytes_that_are_not_sealed_are_refused(noise in prop::collection::vec(any::<u8>(), 0..1500), at in 0..200usize, flip in 1..=255u8, cut in 0..200usize) {
-        let (mut a, mut b) = greeted_pair();
+    fn bytes_that_are_not_sealed_are_rejected(noise in prop::collection::vec(any::<u8>(), 0..1500), at in 0..200usize, flip in 1..=255u8, cut in 0..200usize) {
+        let (mut a, mut b) = pair_with_tokens();
         let before = b.peer_count();
         prop_assert!(b.open(START, &noise).is_err());
         let mut datagram = a.seal(START, PeerId::of_name("b"), &noise[..noise.len().min(100)]).unwrap();
@@ -148,15 +148,15 @@
     }
 }
 
-/// Fleets of mixed versions have to understand each other: these bytes were written by the code of commit 7a79dca.
+/// Fleets of mixed versions must interoperate. These bytes were written by commit 7a79dca.
 #[test]
 fn datagrams_are_byte_for_byte_as_they_were() {
     let (mut a, mut b) = (sealer("a", 1), sealer("b", 1));
     let first = a.seal(START, PeerId::of_name("b"), b"join").unwrap();
-    let Err(OpenError::InvalidToken { greeting }) = b.open(START, &first) else {
+    let Err(OpenError::InvalidToken { challenge }) = b.open(START, &first) else {
         panic!("taken without a token")
     };
-    a.open(START, &greeting).unwrap();
+    a.open(START, &challenge).unwrap();
     let next = a
         .seal(
             START + TOKEN_PERIOD + TimeDelta::from_micros(1),
@@ -170,7 +170,7 @@
         "0117762fddd969a453000000000000000100000000000000010000000000000000976713bc6d42241a6a6f696ee57837a3bed19e0c19c320aaa1e1236c"
     );
     assert_eq!(
-        hex(&greeting),
+        hex(&challenge),
         "0110e5cf3d3c8a4f9f00000000000000010000000000000001976713bc6d42241a533ec60b4e3378040a49a391f0d5211085a897ad451e0b3d"
     );
     assert_eq!(
--- a/crates/membership/tests/simulated_fleet/mod.rs
+++ b/crates/membership/tests/simulated_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time: datagrams take a millisecond, and a seeded draw loses some.
+//! A fleet in simulated time: datagrams take a millisecond, and a seeded random fraction of them is lost.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 pub const SECOND: TimeDelta = TimeDelta::from_secs(1);
 
 const DATAGRAM_DELAY: TimeDelta = MILLISECOND;
-/// How often it is looked whether all know each other.
+/// Interval at which convergence is checked.
 const CONVERGENCE_STEP: TimeDelta = TimeDelta::from_millis(100);
 const FIRST_PORT: u16 = 7000;
 
@@ -28,17 +28,17 @@
 pub struct Fleet {
     pub now: Timestamp,
     pub directors: BTreeMap<usize, Membership>,
-    /// Those that stand still: what comes for them is lost.
+    /// Paused directors; datagrams to them are lost.
     pub paused: BTreeSet<usize>,
-    /// Datagrams between those below and those from here on are lost.
-    pub cut: Option<usize>,
-    /// Datagrams by arrival, then in the order in which they were sent.
+    /// Network partition: datagrams between directors below this number and the others are lost.
+    pub partition: Option<usize>,
+    /// Datagrams by time of arrival, then in the order in which they were sent.
     pub in_flight: BTreeMap<(Timestamp, u64), InFlight>,
     pub sent: u64,
-    /// The part of the datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     loss: f64,
     rng: ChaCha8Rng,
-    /// Who was told that who is down.
+    /// Reports of members that are down: the reporting director, and the member's name.
     pub downs: Vec<(usize, String)>,
 }
 
@@ -50,7 +50,7 @@
     usize::from(address.port() - FIRST_PORT)
 }
 
-/// A director that starts. It knows three seeds, one of which never runs.
+/// A starting director with three seeds, one of which never runs.
 pub fn start_director(
     director: usize,
     incarnation: u64,
@@ -81,7 +81,7 @@
 }
 
 impl Fleet {
-    /// Directors that start at once.
+    /// A fleet whose directors start at the same time.
     pub fn new(size: usize, loss: f64) -> Fleet {
         let start = |director| {
             (
@@ -93,7 +93,7 @@
             now: Timestamp::ZERO,
             directors: (0..size).map(start).collect(),
             paused: BTreeSet::new(),
-            cut: None,
+            partition: None,
             in_flight: BTreeMap::new(),
             sent: 0,
             loss,
@@ -120,16 +120,16 @@
 
     fn transmit(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         self.sent += 1;
-        let is_cut = self
-            .cut
-            .is_some_and(|cut| (from < cut) != (director_at(to) < cut));
-        if !is_cut && self.rng.random::<f64>() >= self.loss {
+        let is_partitioned = self
+            .partition
+            .is_some_and(|partition| (from < partition) != (director_at(to) < partition));
+        if !is_partitioned && self.rng.random::<f64>() >= self.loss {
             let arrival = (self.now + DATAGRAM_DELAY, self.sent);
             self.in_flight.insert(arrival, InFlight { from, to, bytes });
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub fn advance(&mut self, span: TimeDelta) {
         let until = self.now + span;
         loop {
@@ -142,7 +142,7 @@
                 break;
             };
             self.now = self.now.max(time);
-            // A datagram comes before a timer of the same time.
+            // Datagrams are handled before timers that are due at the same time.
             if let Some(key) = arrival.filter(|(arrival, _)| *arrival <= time) {
                 self.deliver(key);
             } else if let Some((_, director)) = timer {
@@ -168,7 +168,7 @@
         let InFlight { from, to, bytes } = self.in_flight.remove(&key).unwrap();
         let to = director_at(to);
         if self.paused.contains(&to) {
-            return; // its socket's buffer is full of older ones
+            return; // Its socket buffer is full.
         }
         if let Some(membership) = self.directors.get_mut(&to) {
             membership.handle_datagram(self.now, address(from), &bytes);
@@ -181,12 +181,12 @@
         members.map(|member| member.name.clone()).collect()
     }
 
-    /// How many members each of some directors knows.
+    /// Number of members that each of these directors knows.
     pub fn known_counts(&self, directors: &[usize]) -> Vec<usize> {
         directors.iter().map(|n| self.known_by(*n).len()).collect()
     }
 
-    /// Whether each of some directors knows the others of them, and nobody else.
+    /// Whether each of these directors knows exactly the others.
     pub fn all_know_each_other(&self, directors: &[usize]) -> bool {
         directors.iter().all(|director| {
             let others = directors.iter().filter(|other| *other != director);
@@ -194,7 +194,8 @@
         })
     }
 
-    /// Lets time pass until some directors know each other; none: they did not within the limit.
+    /// Advances the time until these directors know each other, and returns how long that took; `None` if it took
+    /// longer than the limit.
     pub fn converge(&mut self, directors: &[usize], limit: TimeDelta) -> Option<TimeDelta> {
         let begun = self.now;
         while !self.all_know_each_other(directors) {
