--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -20,7 +20,7 @@
         let seconds = 20;
         fleet.advance(SECOND * seconds);
         let each = (fleet.sent - before) as f64 / seconds as f64 / size as f64;
-        println!("{size} directors: {each:.1} datagrams a second each");
+        println!("{size} directors: {each:.1} datagrams per second and director");
         assert!(each < 5.0, "{size}: {each}");
     }
 }
@@ -94,11 +94,11 @@
     );
     fleet.partition = None;
     let begun = fleet.now;
-    let mut most_in_a_second = 0;
+    let mut peak_datagrams_per_s = 0;
     while !fleet.all_know_each_other(&all) {
         let before = fleet.sent;
         fleet.advance(SECOND);
-        most_in_a_second = most_in_a_second.max(fleet.sent - before);
+        peak_datagrams_per_s = peak_datagrams_per_s.max(fleet.sent - before);
         assert!(
             fleet.now - begun < SECOND * 240,
             "{:?}",
@@ -106,20 +106,20 @@
         );
     }
     println!(
-        "healed after {} s, {} datagrams a second and director at most",
+        "healed after {} s with at most {} datagrams per second and director",
         (fleet.now - begun).as_secs_f64(),
-        most_in_a_second / 12
+        peak_datagrams_per_s / 12
     );
     assert!(
-        most_in_a_second / 12 <= 40,
-        "{most_in_a_second} datagrams in a second"
+        peak_datagrams_per_s / 12 <= 40,
+        "{peak_datagrams_per_s} datagrams per second"
     );
 }
 
 /// Fleets of mixed versions must interoperate. Compares the datagrams of one start, and those in flight over 20 s in a
 /// fleet of five with 10% loss, with those that commit 7a79dca wrote.
 #[test]
-fn datagrams_are_byte_for_byte_as_they_were() {
+fn datagram_bytes_match_the_recorded_version() {
     let mut member = start_director(3, 2, Timestamp::ZERO + SECOND * 5, 8);
     let mut digest = blake3::Hasher::new();
     let mut lengths = Vec::new();
--- a/crates/membership/tests/sealer.rs
+++ b/crates/membership/tests/sealer.rs
@@ -150,7 +150,7 @@
 
 /// Fleets of mixed versions must interoperate. These bytes were written by commit 7a79dca.
 #[test]
-fn datagrams_are_byte_for_byte_as_they_were() {
+fn datagram_bytes_match_the_recorded_version() {
     let (mut a, mut b) = (sealer("a", 1), sealer("b", 1));
     let first = a.seal(START, PeerId::of_name("b"), b"join").unwrap();
     let Err(OpenError::InvalidToken { challenge }) = b.open(START, &first) else {
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The directors of one process, and the batch that is being read.
+//! The directors of one process, and the reader of their batches.
 
 use crate::encode::write_action;
 use crate::endpoint_list::EndpointLists;
@@ -9,41 +9,41 @@
 use shalewall_director_config::{DirectorConfig, Names};
 use std::collections::BTreeMap;
 
-/// A director, and the names that its settings use.
+/// A director, with the names of its settings.
 struct Instance {
     director: Director,
     names: Names,
 }
 
-/// Reads lines and collects the reply of each batch.
+/// Reads lines and returns the reply of each batch.
 #[derive(Default)]
 pub struct SimulatorAdapter {
-    /// Number of the last line, from 1.
+    /// Number of the last line read, from 1.
     line: u64,
-    /// Time of the batch that is being read.
+    /// Time of the current batch; `None` between batches.
     batch_time: Option<Timestamp>,
     lists: EndpointLists,
     instances: BTreeMap<String, Instance>,
-    /// Stands for the names of a director that has not begun.
+    /// Empty; used in place of the names of an unknown director.
     no_names: Names,
     actions: Vec<Action>,
-    /// Reply lines of the batch that is being read.
+    /// Reply lines of the current batch.
     reply: String,
 }
 
 impl SimulatorAdapter {
-    /// An error at a field of the last line.
+    /// Creates an error for a field of the last line.
     pub fn error(&self, field: &str, problem: impl Into<WireProblem>) -> WireError {
         WireError::new(self.line, field, problem)
     }
 
-    /// The error of a line that is not UTF-8 text.
+    /// Counts a line that is not valid UTF-8 and returns its error.
     pub fn reject_line(&mut self) -> WireError {
         self.line += 1;
         self.error("line", WireProblem::NotUtf8)
     }
 
-    /// The input has ended; a batch cut short is an error.
+    /// Ends the input. An unfinished batch is an error.
     pub fn finish(&self) -> Result<(), WireError> {
         match self.batch_time {
             None => Ok(()),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes one line. True when it ends a batch: the whole answer is then appended to `reply`.
+    /// Reads one line. If it ends a batch, appends the complete reply to `reply` and returns true.
     pub fn read_line(&mut self, line: &str, reply: &mut String) -> Result<bool, WireError> {
         self.line += 1;
         if line.trim().is_empty() {
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// An event for a director that has not begun is checked, and passed over.
+    /// Passes an event to its director. An event for an unknown director is parsed and then ignored.
     fn handle_event(
         &mut self,
         message: &str,
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,4 +1,4 @@
-//! Actions of a director as lines of the wire.
+//! Encodes the actions of a director as lines of the protocol.
 
 use shalewall::{Action, TimeDelta};
 use std::fmt::{self, Write};
@@ -7,7 +7,7 @@
 const ALL_PEERS: &str = "*";
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// Appends the line of an action of the director of this name.
+/// Appends the line for an action of the named director.
 pub(crate) fn write_action(director: &str, action: &Action, out: &mut String) {
     let written = try_write_action(director, action, out);
     debug_assert!(written.is_ok(), "writing to a string does not fail");
@@ -42,7 +42,7 @@
             writeln!(out, "RECALL {director} {} {attempt}", session.0)
         }
         Action::Redirect { session } => writeln!(out, "GO_AWAY {director} {}", session.0),
-        // Asked for by nobody here: the simulator moves sessions by ending them.
+        // Never occurs: the simulator does not request migrations, and moves sessions by ending them.
         Action::Migrate { .. } => Ok(()),
         Action::SetTimer { after, token } => {
             writeln!(out, "SLEEP {director} {} {token}", millis(*after))
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The simulator's lists of servers, which all directors of the process share.
+//! The simulator's endpoint lists, shared by all directors of the process.
 
 use crate::fields::Fields;
 use crate::{WireError, WireProblem};
@@ -6,10 +6,10 @@
 use shalewall_director_config::Names;
 use std::collections::BTreeMap;
 
-/// Weight of a server that comes without one.
+/// Weight of a server if the list does not give one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// One server of a list. Zone and machine kind are names: each director has its own index of them.
+/// One server of a list. Zone and machine kind are kept as names, since each director has its own indices.
 struct ListedServer {
     server: ServerId,
     zone: String,
@@ -20,13 +20,13 @@
     started_at: Option<Timestamp>,
 }
 
-/// A list whose lines are still coming.
+/// A list of which lines are missing.
 struct IncompleteList {
     number: u64,
     missing_lines: u64,
 }
 
-/// All lists that have come, by number.
+/// All lists received so far, by number.
 #[derive(Default)]
 pub(crate) struct EndpointLists {
     lists: BTreeMap<u64, Vec<ListedServer>>,
@@ -34,7 +34,7 @@
 }
 
 impl EndpointLists {
-    /// Begins a list in place of any of the same number.
+    /// Starts a list, which replaces any earlier one with the same number.
     pub fn begin(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         let number = fields.integer("Slot")?;
         let count = fields.integer("MembersList")?;
@@ -43,12 +43,12 @@
         Ok(())
     }
 
-    /// Whether the next line must be one of a list.
+    /// Whether the next line must belong to a list.
     pub fn is_incomplete(&self) -> bool {
         self.incomplete.is_some()
     }
 
-    /// Takes the next line of the list that is coming.
+    /// Adds the next line of the incomplete list.
     pub fn add_line(&mut self, message: &str, fields: &mut Fields) -> Result<(), WireError> {
         let Some(IncompleteList {
             number,
@@ -73,7 +73,7 @@
         });
     }
 
-    /// A list's endpoints, in the indexes of one director.
+    /// A list's endpoints with the indices of one director; `None` if there is no such list.
     pub fn endpoints(&self, number: u64, names: &Names) -> Option<Vec<Endpoint>> {
         let list = self.lists.get(&number)?;
         Some(list.iter().map(|server| server.endpoint(names)).collect())
@@ -86,7 +86,7 @@
             server: ServerId(fields.integer("Node")?),
             zone: fields.text("Locality")?.to_string(),
             machine_kind: fields.text("ClassOfHost")?.to_string(),
-            // A cell that no title is laid out to.
+            // Without a cell, use one that hosts no titles.
             cell: fields.optional_integer("Position")?.unwrap_or(u64::MAX),
             state: read_state(fields)?,
             weight: fields.optional_number("Rating")?.unwrap_or(DEFAULT_WEIGHT),
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,17 +1,17 @@
-//! What is wrong with a line of the wire.
+//! Errors in lines of the protocol.
 
 use shalewall_director_config::{SettingError, SettingProblem};
 use std::io;
 
-/// The input breaks the form of the wire, or cannot be read or answered.
+/// A malformed line, or a failure to read the input or to write the output.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}, field {field}: {problem}")]
 pub struct WireError {
     /// Number of the line, from 1.
     pub line: u64,
-    /// Name of the field, as the wire's description has it.
+    /// Name of the field in the protocol.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub problem: WireProblem,
 }
 
@@ -19,64 +19,64 @@
 #[derive(Debug, thiserror::Error)]
 pub enum WireProblem {
     /// The line ends before the field.
-    #[error("is missing")]
+    #[error("field is missing")]
     Missing,
-    /// It has no value, and needs one.
-    #[error("is absent")]
+    /// The field has no value, but requires one.
+    #[error("a value is required, found '-'")]
     Absent,
-    /// A whole number is wanted.
-    #[error("'{0}' is not a whole number")]
-    NotAWholeNumber(String),
-    /// A seed is a whole number of either sign.
-    #[error("is not a whole number")]
+    /// The value must be an unsigned integer.
+    #[error("'{0}' is not an unsigned integer")]
+    NotAnInteger(String),
+    /// A seed must be an integer of 64 bits, signed or unsigned.
+    #[error("not a signed or unsigned 64-bit integer")]
     NotASeed,
-    /// A number is wanted.
+    /// The value must be a number.
     #[error("'{0}' is not a number")]
     NotANumber(String),
-    /// A key is written in hex digits.
-    #[error("'{0}' is not a key of hex digits")]
+    /// A key must be a hexadecimal number of 64 bits.
+    #[error("'{0}' is not a hexadecimal 64-bit number")]
     NotAKey(String),
-    /// A finite number of milliseconds is wanted.
-    #[error("is not a time")]
+    /// A time must be a finite number of milliseconds.
+    #[error("not a finite number of milliseconds")]
     NotATime,
-    /// A load report consists of names and values.
-    #[error("'{0}' is not a name and a value")]
-    NotANameAndValue(String),
-    /// A message to a peer is written in pairs of hex digits.
-    #[error("is not hex digits")]
+    /// An entry of a load report must consist of a name and a value.
+    #[error("'{0}' is not of the form name:value")]
+    NotNameAndValue(String),
+    /// A message to a peer must consist of pairs of hexadecimal digits.
+    #[error("not pairs of hexadecimal digits")]
     NotHexDigits,
-    /// The settings are not JSON.
-    #[error("is not JSON: {0}")]
+    /// The settings are not valid JSON.
+    #[error("invalid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// A setting is wrong.
+    /// A setting is invalid.
     #[error("{0}")]
     Setting(SettingProblem),
-    /// The line is not text.
-    #[error("is not UTF-8 text")]
+    /// The line is not valid UTF-8.
+    #[error("not valid UTF-8")]
     NotUtf8,
-    /// There is no such message.
-    #[error("'{0}' is not known")]
+    /// The message is not part of the protocol.
+    #[error("unknown message '{0}'")]
     UnknownMessage(String),
-    /// The message must stand in a batch.
-    #[error("'{0}' comes outside a batch")]
+    /// The message is only allowed within a batch.
+    #[error("message '{0}' outside of a batch")]
     OutsideBatch(String),
-    /// A batch must be committed before the next.
-    #[error("a batch begins inside a batch")]
+    /// A batch must be committed before the next one starts.
+    #[error("a batch starts before the previous one is committed")]
     BatchInsideBatch,
     /// The last batch was not committed.
-    #[error("the input ends inside a batch")]
+    #[error("the input ends before the batch is committed")]
     UnfinishedBatch,
-    /// A list has fewer lines than was said.
-    #[error("a NODE line is missing from the list")]
+    /// A list has fewer lines than announced.
+    #[error("expected a NODE line of the incomplete list")]
     IncompleteList,
-    /// There is no such kind of news of the list.
-    #[error("'{0}' is not a kind of news")]
+    /// The kind of endpoint list update is unknown.
+    #[error("unknown kind of endpoint list update '{0}'")]
     UnknownUpdate(u64),
-    /// There is no such state of a server.
-    #[error("'{0}' is not a state")]
+    /// The state of a server is unknown.
+    #[error("unknown server state '{0}'")]
     UnknownState(u64),
-    /// A list is named that has not come.
-    #[error("no list {0} has come")]
+    /// The line refers to a list that was not received.
+    #[error("list {0} has not been received")]
     UnknownList(u64),
     /// Input or output failed.
     #[error("{0}")]
@@ -84,7 +84,7 @@
 }
 
 impl WireError {
-    /// The problem of a field in a line.
+    /// An error in a field of a line.
     pub(crate) fn new(line: u64, field: &str, problem: impl Into<WireProblem>) -> WireError {
         WireError {
             line,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A wrong setting; its path stands for the field.
+    /// An invalid setting, with its path as the field.
     pub(crate) fn from_setting(line: u64, error: SettingError) -> WireError {
         WireError {
             line,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Messages of the wire that are events of one director.
+//! Decodes the protocol's messages that are events of one director.
 
 use crate::endpoint_list::EndpointLists;
 use crate::fields::Fields;
@@ -8,12 +8,12 @@
 };
 use shalewall_director_config::{FARTHEST_MICROS, Names, title_id};
 
-/// Bit of a request's marks: its duration hint is given.
-const MARK_HAS_DURATION: u64 = 1;
-/// Bits of a request's marks: the viewer or the player repeats an earlier request.
-const MARK_IS_RETRY: u64 = 8 | 16;
+/// Flag of a request: it has a duration hint.
+const FLAG_HAS_DURATION: u64 = 1;
+/// Flags of a request: the viewer or the player repeats an earlier request.
+const FLAG_IS_RETRY: u64 = 8 | 16;
 
-/// The kinds of events.
+/// The kinds of events, named as in [`Event`].
 #[derive(Clone, Copy)]
 pub(crate) enum EventKind {
     EndpointsUpdated,
@@ -29,7 +29,7 @@
 }
 
 impl EventKind {
-    /// The kind that a message stands for.
+    /// The kind of event for a message name; `None` if the name is unknown.
     pub fn from_message(message: &str) -> Option<EventKind> {
         Some(match message {
             "ANNOUNCE" => EventKind::EndpointsUpdated,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Reads the event's fields; none if the event is of no concern to a director.
+    /// Reads the event's fields; `None` if a director ignores the event.
     pub fn read(
         self,
         fields: &mut Fields,
@@ -64,7 +64,7 @@
             EventKind::Notified => return read_notification(fields),
             EventKind::AttemptFinished => read_finished_attempt(fields)?,
             EventKind::RequestWithdrawn => Event::RequestWithdrawn(read_session(fields)?),
-            // A token that is no number was never set by a director here.
+            // Directors only set numeric tokens, so any other one belongs to nobody.
             EventKind::TimerFired => {
                 return Ok(fields.text("Ref")?.parse().ok().map(Event::TimerFired));
             }
@@ -115,7 +115,7 @@
     })
 }
 
-/// None for a kind of notification that is not known.
+/// Reads a notification; `None` if its kind is unknown.
 fn read_notification(fields: &mut Fields) -> Result<Option<Event>, WireError> {
     let session = read_session(fields)?;
     let attempt = fields.integer("Copy")? as u32;
@@ -163,7 +163,7 @@
 
 fn read_request(fields: &mut Fields, names: &Names) -> Result<Request, WireError> {
     let session = read_session(fields)?;
-    // The module rejects a class that it does not have.
+    // The decision module rejects requests with an unknown class.
     let class = names
         .class_index(fields.text("Priority")?)
         .unwrap_or(usize::MAX);
@@ -175,7 +175,7 @@
     let first_cell = fields.optional_integer("Home")?.unwrap_or(0);
     let replica_cells = fields.optional_integer("Spread")?.unwrap_or(0);
     let highest_rung = fields.optional_integer("MaxRung")?.unwrap_or(0) as usize;
-    let marks = fields.optional_integer("Marks")?.unwrap_or(0);
+    let flags = fields.optional_integer("Marks")?.unwrap_or(0);
     Ok(Request {
         session,
         class,
@@ -183,11 +183,11 @@
         viewer,
         title,
         deadline: deadline.unwrap_or(Timestamp::from_micros(FARTHEST_MICROS)),
-        duration_hint: duration_hint.filter(|_| marks & MARK_HAS_DURATION != 0),
+        duration_hint: duration_hint.filter(|_| flags & FLAG_HAS_DURATION != 0),
         first_cell,
         replica_cells,
         highest_rung,
-        is_retry: marks & MARK_IS_RETRY != 0,
+        is_retry: flags & FLAG_IS_RETRY != 0,
         fleet: 0,
     })
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of one line, in order. `-` stands for an absent value.
+//! Reads the fields of one line in order. `-` denotes an absent value.
 
 use crate::{WireError, WireProblem};
 use shalewall::{LoadReport, Outcome, TimeDelta, Timestamp};
@@ -6,14 +6,14 @@
 
 const ABSENT: &str = "-";
 
-/// The fields of a line that are not read yet.
+/// The remaining fields of a line.
 pub(crate) struct Fields<'a> {
     line: u64,
     rest: std::str::Split<'a, char>,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a line with this number.
+    /// Starts reading the line with this number.
     pub fn new(line: u64, text: &'a str) -> Fields<'a> {
         Fields {
             line,
@@ -21,34 +21,34 @@
         }
     }
 
-    /// An error at a field of this line.
+    /// Creates an error for a field of this line.
     pub fn error(&self, field: &str, problem: impl Into<WireProblem>) -> WireError {
         WireError::new(self.line, field, problem)
     }
 
-    /// The next field.
+    /// The next field as text.
     pub fn text(&mut self, field: &str) -> Result<&'a str, WireError> {
         let next = self.rest.next().filter(|text| !text.is_empty());
         next.ok_or_else(|| self.error(field, WireProblem::Missing))
     }
 
-    /// The next field, which may have no value.
+    /// The next field as text; `None` if it is `-`.
     pub fn optional_text(&mut self, field: &str) -> Result<Option<&'a str>, WireError> {
         Ok(Some(self.text(field)?).filter(|text| *text != ABSENT))
     }
 
-    /// All that is left of the line.
+    /// The rest of the line.
     pub fn remainder(self) -> String {
         self.rest.collect::<Vec<_>>().join(" ")
     }
 
-    /// A whole number.
+    /// The next field as an unsigned integer.
     pub fn integer(&mut self, field: &str) -> Result<u64, WireError> {
         let text = self.text(field)?;
         self.parse_integer(field, text)
     }
 
-    /// A whole number, or none.
+    /// The next field as an unsigned integer; `None` if it is `-`.
     pub fn optional_integer(&mut self, field: &str) -> Result<Option<u64>, WireError> {
         let text = self.optional_text(field)?;
         text.map(|text| self.parse_integer(field, text)).transpose()
@@ -56,10 +56,10 @@
 
     fn parse_integer(&self, field: &str, text: &str) -> Result<u64, WireError> {
         text.parse()
-            .map_err(|_| self.error(field, WireProblem::NotAWholeNumber(text.to_string())))
+            .map_err(|_| self.error(field, WireProblem::NotAnInteger(text.to_string())))
     }
 
-    /// A seed. Seeds may use the whole range of either sign; only their bits matter.
+    /// The next field as a seed, a signed or unsigned 64-bit integer. Only its bits matter.
     pub fn seed(&mut self, field: &str) -> Result<u64, WireError> {
         let text = self.text(field)?;
         let signed = |_| text.parse::<i64>().map(|seed| seed as u64);
@@ -67,7 +67,7 @@
         seed.map_err(|_| self.error(field, WireProblem::NotASeed))
     }
 
-    /// A key in hex digits; 0 if it has no value.
+    /// The next field as a hexadecimal number; 0 if it is `-`.
     pub fn hex_key(&mut self, field: &str) -> Result<u64, WireError> {
         let Some(text) = self.optional_text(field)? else {
             return Ok(0);
@@ -76,7 +76,7 @@
             .map_err(|_| self.error(field, WireProblem::NotAKey(text.to_string())))
     }
 
-    /// Bytes in pairs of hex digits; none if there is no value.
+    /// The next field as bytes in pairs of hexadecimal digits; empty if it is `-`.
     pub fn hex_bytes(&mut self, field: &str) -> Result<Vec<u8>, WireError> {
         let text = self.optional_text(field)?.unwrap_or("");
         let byte = |pair: &[u8]| {
@@ -87,7 +87,7 @@
         bytes.ok_or_else(|| self.error(field, WireProblem::NotHexDigits))
     }
 
-    /// A number, or none.
+    /// The next field as a number; `None` if it is `-`.
     pub fn optional_number(&mut self, field: &str) -> Result<Option<f64>, WireError> {
         let Some(text) = self.optional_text(field)? else {
             return Ok(None);
@@ -96,13 +96,13 @@
         number.map_err(|_| self.error(field, WireProblem::NotANumber(text.to_string())))
     }
 
-    /// A number.
+    /// The next field as a number.
     pub fn number(&mut self, field: &str) -> Result<f64, WireError> {
         let number = self.optional_number(field)?;
         number.ok_or_else(|| self.error(field, WireProblem::Absent))
     }
 
-    /// A point of the simulator's clock, in milliseconds.
+    /// The next field as a time of the simulator's clock, in milliseconds.
     pub fn timestamp(&mut self, field: &str) -> Result<Timestamp, WireError> {
         let millis = self.number(field)?;
         if !millis.is_finite() {
@@ -111,7 +111,7 @@
         Ok(timestamp_from_millis(millis))
     }
 
-    /// A point of the simulator's clock, or none; what is not finite is none.
+    /// The next field as a time of the simulator's clock, in milliseconds; `None` if it is `-` or not finite.
     pub fn optional_timestamp(&mut self, field: &str) -> Result<Option<Timestamp>, WireError> {
         let millis = self.optional_number(field)?;
         Ok(millis
@@ -119,7 +119,7 @@
             .map(timestamp_from_millis))
     }
 
-    /// A length of time in milliseconds, or none; what is not finite is none.
+    /// The next field as a duration in milliseconds; `None` if it is `-` or not finite.
     pub fn optional_time_delta(&mut self, field: &str) -> Result<Option<TimeDelta>, WireError> {
         let millis = self.optional_number(field)?;
         Ok(millis
@@ -127,7 +127,7 @@
             .map(time_delta_from_millis))
     }
 
-    /// How an attempt or a health check ended.
+    /// The next field as the outcome of an attempt or a health check.
     pub fn outcome(&mut self) -> Result<Outcome, WireError> {
         Ok(match self.text("StateCode")? {
             "GOOD" => Outcome::Success,
@@ -137,12 +137,12 @@
             "RST" => Outcome::ConnectionReset,
             "CXL" => Outcome::Cancelled,
             "NOP" => Outcome::NotSent,
-            // BAD, and any code that is not known: it may have run.
+            // BAD and unknown codes: the set-up may have run.
             _ => Outcome::Error,
         })
     }
 
-    /// The load report, which older senders may leave out altogether.
+    /// The next field as a load report. Older senders omit it.
     pub fn load_report(&mut self) -> Result<LoadReport, WireError> {
         let mut report = LoadReport::default();
         let text = self.rest.next().unwrap_or(ABSENT);
@@ -151,7 +151,7 @@
         }
         for pair in text.split(',') {
             let Some((name, value)) = pair.split_once(':') else {
-                let problem = WireProblem::NotANameAndValue(pair.to_string());
+                let problem = WireProblem::NotNameAndValue(pair.to_string());
                 return Err(self.error("Stats", problem));
             };
             apply_load_value(&mut report, name, value)
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,8 +1,8 @@
-//! Directors on the simulator's text wire: lines of text become events, and actions become lines.
+//! Runs directors on the simulator's text protocol: input lines become events, and actions become output lines.
 //!
-//! The wire carries batches of lines. [`SimulatorAdapter`] takes line after line and gives the reply of each batch; it
-//! holds as many directors as the simulator begins. A line that breaks the form ends the run with a [`WireError`], which
-//! names line, field and problem. No decision is made here.
+//! The protocol transfers batches of lines. [`SimulatorAdapter`] reads them line by line and returns the reply of each
+//! batch; it runs any number of directors, which the simulator starts and stops. A malformed line ends the run with a
+//! [`WireError`], which contains the line number, the field and the problem. This crate makes no decisions.
 
 #![deny(missing_docs)]
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! `shalewall-benchlink` runs directors on the simulator's wire: standard input to standard output.
+//! `shalewall-benchlink` runs directors on the simulator's protocol, from standard input to standard output.
 //!
-//! It ends well at the end of the input, and with exit code 1 and a line on standard error at a malformed line.
+//! It exits with code 0 at the end of the input. On a malformed line it prints an error to standard error and exits
+//! with code 1.
 
 use shalewall_simulator_adapter::{SimulatorAdapter, WireError};
 use std::io::{self, BufRead, BufWriter, Write};
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,11 +1,11 @@
-//! The wire, line by line and through the binary.
+//! The simulator's protocol, line by line and through the binary.
 
 use shalewall_simulator_adapter::{SimulatorAdapter, WireError};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// The settings of a director as the simulator writes them. They stand in a file of their own so that no renaming in
-/// the code reaches their keys.
+/// The settings of a director as the simulator writes them. They are in a separate file, so that renaming identifiers
+/// in the code cannot change their keys.
 const SETUP: &str = include_str!("fixtures/setup.json");
 
 fn setup() -> String {
@@ -44,7 +44,7 @@
     exchange(&lines)
 }
 
-/// A request of class `live`, whose marks say that its duration is given.
+/// A request of class `live` with a duration hint, as its flags indicate.
 const REQUEST: &str =
     "SUBMIT director-3 77 live - 91f03b7c55d20a64 2b8e6401d9f37c10 9000.0 12.0 0 2 1 1";
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_request_goes_through_to_its_end() {
+fn a_session_is_set_up_and_played_to_its_end() {
     let reply = exchange_after_begin("pushed", &["SYNC 1010", REQUEST, "COMMIT"]).unwrap();
     assert!(
         reply.contains("STEP_TO director-3 77 1\nTRANSMIT director-3 77 1"),
@@ -66,23 +66,23 @@
         12
     };
     let started = format!("HEADERS director-3 77 0 {node} 80.0");
-    let note = format!("HINT_UPDATE director-3 77 0 0.5 {node} 3");
-    let odd = format!("HINT_UPDATE director-3 77 0 0.5 {node} 9");
+    let notification = format!("HINT_UPDATE director-3 77 0 0.5 {node} 3");
+    let unknown_notification = format!("HINT_UPDATE director-3 77 0 0.5 {node} 9");
     let ended =
         format!("FINISHED director-3 77 GOOD 30000.5 {node} 0 1 rif:7,x0:0.4,x1:1.25,new:3 extra");
-    let gone = "WITHDRAWN director-3 77";
+    let withdrawal = "WITHDRAWN director-3 77";
     let all = [
         "SYNC 1010",
         REQUEST,
         "COMMIT",
         "SYNC 1090",
         &started,
-        &note,
-        &odd,
+        &notification,
+        &unknown_notification,
         "COMMIT",
         "SYNC 31090",
         &ended,
-        gone,
+        withdrawal,
     ];
     let reply = exchange_after_begin("pushed", &[&all[..], &["COMMIT"]].concat()).unwrap();
     assert!(
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn cheap_health_checks_go_out_first_and_their_answers_decide() {
+fn cheap_health_checks_are_sent_before_the_attempt_and_decide_it() {
     let setup = |price: &str, probes: &str| {
         let probing =
             format!("\"Deductions\": {{\"Probe\": {price}}}, \"Limits\": {{\"Probes\": {probes}, ");
@@ -101,7 +101,7 @@
     };
     let exchange_with = |setup: String, more: &[&str]| {
         let begin = format!("BEGIN director-3 -17 {setup}");
-        let (nodes, ask) = (
+        let (nodes, submit) = (
             ["NODE 11 north small 0 1 1 -", "NODE 12 north small 1 1 1 -"],
             REQUEST,
         );
@@ -115,15 +115,16 @@
             "COMMIT",
         ];
         let mut lines = head.to_vec();
-        // The director's timer rings when it is due: otherwise it would have stood still, and not probe.
+        // Fires the periodic timer when it is due. Otherwise the director would detect a stall and send no health
+        // checks.
         let ticks: Vec<String> = (1..=30)
             .map(|n| format!("SYNC {}", 1000.5 + 200.0 * f64::from(n)))
             .collect();
-        let bell = format!("BELL director-3 {}", u64::MAX);
+        let tick = format!("BELL director-3 {}", u64::MAX);
         ticks
             .iter()
-            .for_each(|t| lines.extend([t.as_str(), bell.as_str(), "COMMIT"]));
-        lines.extend(["SYNC 7000.5", ask, "COMMIT"]);
+            .for_each(|t| lines.extend([t.as_str(), tick.as_str(), "COMMIT"]));
+        lines.extend(["SYNC 7000.5", submit, "COMMIT"]);
         lines.extend(more);
         exchange(&lines).unwrap()
     };
@@ -149,7 +150,7 @@
     let reply = exchange_with(setup("0.01", "true"), &answers);
     assert!(
         reply.contains("TRANSMIT director-3 77 12 "),
-        "the emptier one: {reply}"
+        "the server with less load: {reply}"
     );
 }
 
@@ -161,7 +162,7 @@
         let line = reply.lines().find(|line| line.starts_with("TRANSMIT"));
         line.unwrap().to_string()
     };
-    // What may run only once waits as long as the viewer does; what is idempotent has an attempt timeout.
+    // An at-most-once attempt waits until the viewer's deadline; an idempotent one has an attempt timeout.
     assert!(attempt("report").ends_with(" -"), "{}", attempt("report"));
     assert!(attempt("live").ends_with(" 480"), "{}", attempt("live"));
     for (key, path) in [
@@ -179,13 +180,13 @@
 }
 
 #[test]
-fn an_unknown_class_is_rejected_with_advice_and_an_unknown_session_ignored() {
-    let ask = REQUEST.replace("live", "unheard-of");
+fn an_unknown_class_is_rejected_with_retry_after_and_an_unknown_session_ignored() {
+    let submit = REQUEST.replace("live", "unheard-of");
     let reply = exchange_after_begin(
         "pushed",
         &[
             "SYNC 1010",
-            &ask,
+            &submit,
             "BELL director-3 sweep",
             "BELL director-9 1",
             "COMMIT",
@@ -193,10 +194,10 @@
     )
     .unwrap();
     assert!(reply.contains("OVERLOAD_REPLY director-3 77 "), "{reply}");
-    let lost = "FINISHED director-3 5 RST 1.0 11 0 1 -";
+    let unknown_session_end = "FINISHED director-3 5 RST 1.0 11 0 1 -";
     let all = [
         "SYNC 1010",
-        lost,
+        unknown_session_end,
         "PROBE_RESULT director-3 11 GOOD 1.0 -",
         "DATAGRAM director-3 2 6869",
         "COMMIT",
@@ -310,7 +311,7 @@
 }
 
 #[test]
-fn the_binary_leaves_no_part_of_a_reply_behind_a_malformed_line() {
+fn the_binary_writes_no_partial_reply_before_a_malformed_line() {
     let (out, err, good) = binary("SYNC 1\nCOMMIT\nSYNC 2\nBELL\nCOMMIT\n");
     assert_eq!((out.as_str(), good), ("ACK\n", false));
     assert!(err.contains("line 4") && err.contains("Director"), "{err}");
