--- a/crates/settings/src/admin.rs
+++ b/crates/settings/src/admin.rs
@@ -1,4 +1,4 @@
-//! The file of `shalewall admin`: the administration API of a hosted service.
+//! The settings file of `shalewall admin`: the administration API of a hosted service.
 
 use crate::SettingsFile;
 use crate::rule::Violation;
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The file of `shalewall admin`.
+/// The settings file of `shalewall admin`.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct AdminConfig {
-    /// The API itself.
+    /// Settings of the API.
     #[garde(dive)]
     pub admin: Admin,
 }
@@ -20,19 +20,20 @@
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Admin {
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     #[garde(skip)]
     pub listen: SocketAddr,
-    /// The store's file; made where there is none.
+    /// File of the store; created if it does not exist.
     #[garde(skip)]
     pub store: PathBuf,
-    /// A front that is not heard of for so long is taken for gone: the id of a deleted tenant is not free before.
+    /// Time in seconds after which a director that has not contacted the API is considered gone. The id of a deleted
+    /// tenant is not reused earlier, since such a director may still use it.
     #[garde(range(min = 10.0, max = 86_400.0))]
-    #[serde(default = "forget_front_s")]
+    #[serde(default = "default_forget_front_s")]
     pub forget_front_s: f64,
 }
 
-fn forget_front_s() -> f64 {
+fn default_forget_front_s() -> f64 {
     600.0
 }
 
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -1,4 +1,4 @@
-//! The file of `shalewall day run`: a scripted day with its site, its fleet, its viewers and its faults.
+//! The settings file of `shalewall day run`: a scripted day with its site, fleet, viewers and faults.
 
 mod fault;
 mod fleet;
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The file of `shalewall day run`.
+/// The settings file of `shalewall day run`.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct DayPlan {
@@ -23,53 +23,53 @@
     /// The site that its directors share.
     #[garde(dive)]
     pub site: Site,
-    /// The media nodes as they are.
+    /// The actual media nodes.
     #[garde(dive)]
     pub fleet: Fleet,
-    /// Its viewers.
+    /// The viewers.
     #[garde(dive)]
     pub load: Load,
-    /// Whether the site's tenants are hosted: known to fronts by roll-out alone, with the site's classes as their own
-    /// and their shares of the director.
+    /// Present if the site's tenants are hosted: directors receive them from the administration API only, with copies
+    /// of the site's classes and with their shares of the director.
     #[garde(dive)]
     pub hosted: Option<HostedDay>,
-    /// Faults by a name of one's own.
+    /// Faults by an arbitrary name.
     #[garde(dive)]
     #[serde(default, rename = "trouble")]
     pub faults: BTreeMap<String, Fault>,
 }
 
-/// How long a day is, and who plays it.
+/// Length and participants of a day.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
-    /// Viewers come for so long; what plays then may end within a grace.
+    /// Time in seconds during which viewers arrive. Sessions that play at its end may finish within a grace period.
     #[garde(range(min = 1.0, max = 3600.0))]
     pub seconds: f64,
-    /// Seeds all that is drawn.
+    /// Seed of all random draws.
     #[garde(skip)]
     pub seed: u64,
-    /// Directors; on sockets each is a process of its own, and 64 the most.
+    /// Number of directors. On sockets each is a process of its own, and the maximum is 64.
     #[garde(range(min = 1, max = 1024))]
     pub directors: u32,
-    /// Part of the true rates that viewers' sockets carry.
+    /// Fraction of the actual rates that viewers' sockets transfer.
     #[garde(range(min = 0.0001, max = 1.0))]
-    #[serde(default = "fraction")]
+    #[serde(default = "default_media_fraction")]
     pub media_fraction: f64,
 }
 
-fn fraction() -> f64 {
+fn default_media_fraction() -> f64 {
     0.01
 }
 
-/// What a hosted service of the day is told.
+/// Settings of the day's hosted service.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct HostedDay {
-    /// Set-ups a second that each director can make: what shares are parts of.
+    /// Capacity of each director in set-ups per second, of which tenants get their shares.
     #[garde(range(min = 1.0, max = 1_000_000.0))]
     pub set_ups_per_s: f64,
-    /// Sessions that each director holds at most.
+    /// Maximum number of sessions of each director.
     #[garde(range(min = 1, max = 1_000_000))]
     #[serde(rename = "most_sessions")]
     pub max_sessions: usize,
--- a/crates/settings/src/day/fault.rs
+++ b/crates/settings/src/day/fault.rs
@@ -1,46 +1,47 @@
-//! The faults of a day: what goes wrong, when, for how long and to whom.
+//! The faults of a day: their kind, time, duration and targets.
 
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Nodes die with a reset and come back cold after the trouble.
+    /// Nodes crash, with connection resets, and restart after the fault and have to warm up.
     Crash,
-    /// Nodes go silent, no reset and no answer, and come back cold.
+    /// Nodes stop responding, without connection resets, and restart after the fault and have to warm up.
     Vanish,
-    /// Nodes stand still and go on afterwards.
+    /// Nodes hang and continue after the fault.
     Hang,
-    /// Another program takes `size` of the link, on and off.
+    /// Another program uses the fraction `size` of the link, intermittently.
     Neighbour,
-    /// All links give `size` times less.
+    /// The capacity of all links is divided by `size`.
     SharedSlow,
-    /// Set-ups and links of nodes get slower up to `size` times, then they die.
+    /// Set-ups and links of nodes slow down gradually, up to a factor of `size`, and then the nodes crash.
     Ageing,
-    /// Nodes are listed as draining in `waves` waves and die `notice_ms` later; cold ones replace them.
+    /// Nodes are listed as draining in `waves` waves and crash `notice_ms` later; new nodes that have to warm up
+    /// replace them.
     Preempt,
-    /// A zone's nodes die, with its directors where `directors` is set, and come back cold.
+    /// A zone's nodes crash, and its directors if `directors` is set. They restart and have to warm up.
     ZoneLoss,
-    /// The list is out of reach.
+    /// The endpoint list is unreachable.
     ListOut,
-    /// Viewers come at `size` times the usual rate.
+    /// Viewers arrive at `size` times the usual rate.
     Burst,
-    /// One tenant's do; all, where viewers name no tenant.
+    /// Viewers of one tenant arrive at `size` times the usual rate; all viewers, if they name no tenant.
     TenantBurst,
-    /// Viewers come for one title, `size` of the usual rate.
+    /// Additional viewers request one title, at `size` times the usual rate.
     HotTitle,
-    /// More viewers of one class come, `size` of the usual rate.
+    /// Additional viewers request one class, at `size` times the usual rate.
     ClassFlood,
-    /// Directors are killed outright and started again after the trouble.
+    /// Directors are killed without shutdown and restarted after the fault.
     DirectorKill,
-    /// Directors stand still for `stall_ms`, again and again.
+    /// Directors are paused for `stall_ms`, repeatedly.
     DirectorStall,
 }
 
 impl FaultKind {
-    /// Whether a fault of this kind needs a size.
+    /// Whether faults of this kind require a size.
     pub fn has_size(self) -> bool {
         matches!(
             self,
@@ -55,65 +56,65 @@
     }
 }
 
-/// One fault.
+/// A fault.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Its kind.
     #[garde(skip)]
     pub kind: FaultKind,
-    /// When it begins.
+    /// Time of its start, in seconds from the start of the day.
     #[garde(range(min = 0.0, max = 3600.0))]
     #[serde(rename = "at_s")]
     pub start_s: f64,
-    /// How long it lasts.
+    /// Its duration in seconds.
     #[garde(range(min = 0.0, max = 3600.0))]
     #[serde(rename = "len_s")]
     pub duration_s: f64,
-    /// Part of the nodes or directors that it meets; at least one.
+    /// Fraction of the nodes or directors that it affects; at least one is affected.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default, rename = "part")]
     pub fraction: f64,
-    /// How severe it is, where the kind has a size: see [`FaultKind`].
+    /// Its severity, for kinds that have one; see [`FaultKind`].
     #[garde(range(min = 0.0, max = 1000.0))]
     #[serde(default)]
     pub size: f64,
-    /// Waves of a preemption.
+    /// Number of waves of a preemption.
     #[garde(range(min = 1, max = 16))]
-    #[serde(default = "one_wave")]
+    #[serde(default = "default_waves")]
     pub waves: u32,
-    /// Between the notice of a preemption and its end.
+    /// Time from the notice of a preemption to the crash, in milliseconds.
     #[garde(range(min = 0.0, max = 60_000.0))]
     #[serde(default)]
     pub notice_ms: f64,
-    /// How long a director stands still each time.
+    /// Duration of each pause of a director, in milliseconds.
     #[garde(range(min = 0.0, max = 60_000.0))]
     #[serde(default)]
     pub stall_ms: f64,
-    /// A zone's directors are lost with its nodes.
+    /// Whether the loss of a zone includes its directors.
     #[garde(skip)]
     #[serde(default)]
     pub directors: bool,
-    /// The nodes or directors that it meets, by number, where they are told; then `part` is not used.
+    /// Numbers of the affected nodes or directors. If present, `part` is not used.
     #[garde(skip)]
     #[serde(rename = "on")]
     pub targets: Option<Vec<u64>>,
-    /// Zone, tenant or title by name, where the kind has one.
+    /// Name of the affected zone, tenant, title or class, for kinds that affect one.
     #[garde(skip)]
     #[serde(rename = "name")]
     pub target_name: Option<String>,
 }
 
 impl Fault {
-    /// One of a kind that meets nobody yet and has no size.
-    pub fn new(kind: FaultKind, at_s: f64, len_s: f64) -> Fault {
+    /// A fault without targets and size.
+    pub fn new(kind: FaultKind, start_s: f64, duration_s: f64) -> Fault {
         Fault {
             kind,
-            start_s: at_s,
-            duration_s: len_s,
+            start_s,
+            duration_s,
             fraction: 0.0,
             size: 0.0,
-            waves: one_wave(),
+            waves: default_waves(),
             notice_ms: 0.0,
             stall_ms: 0.0,
             directors: false,
@@ -123,6 +124,6 @@
     }
 }
 
-fn one_wave() -> u32 {
+fn default_waves() -> u32 {
     1
 }
--- a/crates/settings/src/day/violations.rs
+++ b/crates/settings/src/day/violations.rs
@@ -4,7 +4,7 @@
 use crate::SettingsFile;
 use crate::rule::{Rule, Violation, joined};
 
-/// The shortest session that a class may have, seconds.
+/// Smallest allowed value for the shortest session of a class, in seconds.
 const SHORTEST_SESSION_S: f64 = 0.1;
 
 impl SettingsFile for DayPlan {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What the load says of tenants and classes by their names.
+    /// Checks the load's references to tenants and classes.
     fn check_load_by_name(&self, violations: &mut Vec<Violation>) {
         for (name, rate) in &self.load.tenant_rates {
             if !self.site.tenants.contains_key(name) || !rate.is_finite() || *rate <= 0.0 {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The names that a kind of fault may meet; none where it meets nothing by name.
+    /// The names that a kind of fault may have as target; `None` if it has no named target.
     fn targets(&self, kind: FaultKind) -> Option<Vec<&String>> {
         match kind {
             FaultKind::ZoneLoss => Some(self.site.zones.iter().collect()),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a settings file, and where.
+//! Errors in settings files, with their location.
 
 use crate::rule::Rule;
 use std::fmt;
 use thiserror::Error;
 
-/// What is wrong with a settings file: shown as `file:line: path: problem`.
+/// An error in a settings file, displayed as `file:line: path: problem`.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{location}: {problem}")]
 pub struct Error {
-    /// Where it is.
+    /// Location of the error.
     pub location: Location,
-    /// What it is, and what would be right.
+    /// The error, and what is allowed instead.
     pub problem: Problem,
 }
 
@@ -19,9 +19,9 @@
 pub struct Location {
     /// Name of the file.
     pub file: String,
-    /// From 1; absent where the file can't be read at all.
+    /// Line number, from 1; `None` if the file cannot be read.
     pub line: Option<usize>,
-    /// Within the file, as `site.class.open.floor`; empty for the file itself.
+    /// Path within the file, such as `site.class.open.floor`; empty for the file itself.
     pub path: String,
 }
 
@@ -38,25 +38,25 @@
     }
 }
 
-/// What is wrong with a file or a value in it.
+/// Kind of an error in a file or in one of its values.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Problem {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Unreadable(String),
-    /// The text is not HCL.
+    /// The text is not valid HCL.
     #[error("{0}")]
     Syntax(String),
-    /// A field is missing, unknown, or of another type.
+    /// A field is missing, unknown or of the wrong type.
     #[error("{0}")]
-    Form(String),
+    Schema(String),
     /// A value is outside its range.
     #[error("{0}")]
     Range(String),
-    /// The included file is named by a path.
+    /// The included file is given as a path instead of a file name.
     #[error("has to name a file of the same folder")]
     IncludeOutsideFolder,
-    /// A rule between fields is broken.
+    /// The values of several fields are inconsistent.
     #[error(transparent)]
     Rule(#[from] Rule),
 }
--- a/crates/settings/src/field_names.rs
+++ b/crates/settings/src/field_names.rs
@@ -1,10 +1,10 @@
 //! Fields whose names in files differ from those in the code.
 //!
-//! Deserialization takes the names of files from `#[serde(rename)]`; errors of ranges come with the names of the code,
-//! and are shown with those of files by this table. A test gives each field of the fixtures a wrong value, and would
-//! find one that is missing here.
+//! Deserialization uses the names in files, by `#[serde(rename)]`. Validation of ranges reports the names in the code,
+//! which this table maps to those in files. A test sets each field of the fixtures to an invalid value and detects
+//! missing entries.
 
-/// The name in files of each field that has another one in the code: (code, file).
+/// Pairs of a field's name in the code and its different name in files.
 const FILE_NAMES: [(&str, &str); 84] = [
     ("base", "free"),
     ("can_cancel", "may_cancel"),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,12 @@
-//! Settings files in HCL: read, checked, and turned into what the decision module is told.
+//! Reads and validates settings files in HCL, and converts them to the settings of the decision module and the engine.
 //!
-//! [`read`] takes a file with what it includes, [`parse`] a text. There are three files: [`server::ServerConfig`] of
-//! `shalewall serve`, [`admin::AdminConfig`] of `shalewall admin` and [`day::DayPlan`] of `shalewall day run`; [`site`]
-//! is the part that directors share. Each value is checked by its range, then the fields against each other by the
-//! rules of [`rule`]. An [`Error`] names the file, the line, the path within it and what would be right.
+//! [`read`] reads a file with the file that it includes, [`parse`] a text. There are three kinds of files:
+//! [`server::ServerConfig`] for `shalewall serve`, [`admin::AdminConfig`] for `shalewall admin` and [`day::DayPlan`]
+//! for `shalewall day run`; [`site`] is the part that directors share. The range of each value is checked first, then
+//! the consistency of fields by the rules in [`rule`]. An [`Error`] contains the file, the line, the path within it and
+//! the allowed values.
 //!
-//! This crate knows files, their form, and what module and engine are told at their start. It knows nothing of
-//! sockets, sessions and nodes.
+//! This crate is independent of sockets, sessions and nodes.
 
 #![deny(missing_docs)]
 
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading a file with what it includes, and checking it.
+//! Reads and validates a file with the file that it includes.
 
 use crate::error::{Error, Problem};
 use crate::locate;
@@ -9,14 +9,14 @@
 use serde::de::{DeserializeOwned, IntoDeserializer};
 use std::path::Path;
 
-/// A settings file's top: fields checked one by one by their ranges, then together.
+/// The top level of a settings file. The ranges of single fields are checked first, then rules between fields.
 pub trait SettingsFile: DeserializeOwned + Validate<Context = ()> {
-    /// The rules between fields that the file breaks.
+    /// The rules between fields that the file violates.
     fn violations(&self) -> Vec<Violation>;
 }
 
-/// Reads and checks a file. All that is wrong with its values is told at once. A file may name another one of its
-/// folder with `include`: what it says itself goes before what that one says, block by block.
+/// Reads and validates a file. All invalid values are reported together. A file may include another one from the same
+/// folder with `include`; its own values override those of the included file, block by block.
 pub fn read<T: SettingsFile>(file: &Path) -> Result<T, Vec<Error>> {
     let read_sources = || {
         let own = Source::read(file)?;
@@ -29,7 +29,7 @@
     read_sources().map_err(|error| vec![error])?.check()
 }
 
-/// The same from text, which includes nothing; `name` stands for the file in errors.
+/// Reads and validates a text, which must not include a file. Errors use `name` as the file's name.
 pub fn parse<T: SettingsFile>(name: &str, text: &str) -> Result<T, Vec<Error>> {
     let own = Source::new(name, text);
     let included = None;
@@ -64,22 +64,22 @@
 
     fn deserialize<T: SettingsFile>(&self) -> Result<T, Error> {
         self.own.body()?;
-        let form_error = |error: serde_path_to_error::Error<hcl::Error>| {
+        let schema_error = |error: serde_path_to_error::Error<hcl::Error>| {
             let path = error.path().to_string();
             let path = if path == "." { "" } else { &path };
-            self.error_at(path, Problem::Form(error.inner().to_string()))
+            self.error_at(path, Problem::Schema(error.inner().to_string()))
         };
         match &self.included {
             None => {
-                let form = hcl::de::Deserializer::from_str(self.own.text())
-                    .map_err(|error| self.error_at("", Problem::Form(error.to_string())))?;
-                serde_path_to_error::deserialize(form).map_err(form_error)
+                let deserializer = hcl::de::Deserializer::from_str(self.own.text())
+                    .map_err(|error| self.error_at("", Problem::Schema(error.to_string())))?;
+                serde_path_to_error::deserialize(deserializer).map_err(schema_error)
             }
             Some(included) => {
                 included.body()?;
                 let merged = merge(value_of(included)?, without_include(value_of(&self.own)?));
-                let form = IntoDeserializer::<hcl::Error>::into_deserializer(merged);
-                serde_path_to_error::deserialize(form).map_err(form_error)
+                let deserializer = IntoDeserializer::<hcl::Error>::into_deserializer(merged);
+                serde_path_to_error::deserialize(deserializer).map_err(schema_error)
             }
         }
     }
@@ -95,7 +95,8 @@
         outside.collect()
     }
 
-    /// An error in the one of the two files that has more of the path; in the file itself where both have as much.
+    /// Creates an error in the file that contains more parts of the path; in the including file if both contain the
+    /// same number.
     fn error_at(&self, path: &str, problem: Problem) -> Error {
         let own_depth = self.own.depth_of(path);
         let deeper = self.included.as_ref();
@@ -106,7 +107,7 @@
 
 fn value_of(source: &Source) -> Result<Value, Error> {
     hcl::from_str(source.text())
-        .map_err(|error| source.error_at("", Problem::Form(error.to_string())))
+        .map_err(|error| source.error_at("", Problem::Schema(error.to_string())))
 }
 
 fn without_include(mut value: Value) -> Value {
@@ -116,7 +117,7 @@
     value
 }
 
-/// `over` before `under`, block by block.
+/// Merges two values block by block; `over` takes precedence.
 fn merge(under: Value, over: Value) -> Value {
     match (under, over) {
         (Value::Object(mut under), Value::Object(over)) => {
--- a/crates/settings/src/locate.rs
+++ b/crates/settings/src/locate.rs
@@ -1,19 +1,19 @@
-//! Where in a file a path is, so that an error can name the line.
+//! Finds the line of a path in a file, for error messages.
 
 use crate::field_names::file_name;
 use hcl_edit::Span;
 use hcl_edit::structure::{Block, Body, Structure};
 
-/// The deepest part of a path that a text has.
+/// Location of the longest prefix of a path that occurs in a text.
 pub(crate) struct Found {
-    /// How many parts of the path the text has.
+    /// Number of parts in that prefix.
     pub depth: usize,
-    /// The line of the last of them, from 1.
+    /// Line of its last part, from 1.
     pub line: usize,
 }
 
-/// A path of validation as files have it. Validation paths come as `a.b[c].d`, with the names of the code for fields
-/// and the file's own names in brackets; elsewhere they are `a.b.c.d`.
+/// Converts a validation path to a path in files. Validation paths have the form `a.b[c].d`, with field names of the
+/// code, and keys of maps in brackets; paths in files have the form `a.b.c.d`.
 pub(crate) fn file_path(path: &str) -> String {
     let parts = path.split('.').map(|part| match part.split_once('[') {
         Some((field, names)) => format!("{}[{names}", file_name(field)),
@@ -29,7 +29,7 @@
         .to_string()
 }
 
-/// Looks for a path in a text; none where the text is not HCL.
+/// Finds a path in a text; `None` if the text is not valid HCL.
 pub(crate) fn find(text: &str, path: &str) -> Option<Found> {
     let body = hcl_edit::parser::parse_body(text).ok()?;
     let path = dotted(path);
@@ -45,7 +45,7 @@
     })
 }
 
-/// As [`Found`], by the offset in bytes.
+/// Like [`Found`], with an offset in bytes in place of the line.
 struct Deepest {
     depth: usize,
     offset: usize,
@@ -68,13 +68,13 @@
     None
 }
 
-/// Whether the labels of a block are the next parts of the path.
+/// Whether a block's labels match the next parts of the path.
 fn is_named(block: &Block, rest: &[&str]) -> bool {
     let mut labels = block.labels.iter().zip(rest);
     labels.all(|(label, part)| label.as_str() == *part)
 }
 
-/// The block itself, or what is deeper in it.
+/// Finds the path in a block; the block itself if it contains no further parts.
 fn find_in_block(block: &Block, rest: &[&str]) -> Option<Deepest> {
     let labels = rest.len().min(block.labels.len());
     let own_depth = 1 + labels;
--- a/crates/settings/src/migration.rs
+++ b/crates/settings/src/migration.rs
@@ -1,67 +1,67 @@
-//! When sessions that play are moved to another node.
+//! Settings for the migration of playing sessions to another node.
 
 use crate::units::{from_millis, from_seconds};
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 use shalewall_migration::planner::MigrationPolicy;
 
-/// When sessions may be handed over to another node while they play. Absent in a site: never.
+/// Conditions and limits of migrations. Without them, a site's sessions never migrate.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct MigrationSettings {
-    /// A move takes about so long: a player that hears nothing waits while its buffer lasts longer. Half of it is what
-    /// a target has to be ready within.
+    /// Typical duration of a migration, in milliseconds. A player that receives no data waits while its buffer lasts
+    /// longer than this. A target has to be ready within half of it.
     #[garde(range(min = 50.0, max = 60_000.0))]
-    #[serde(default = "takes_ms", rename = "takes_ms")]
+    #[serde(default = "default_duration_ms", rename = "takes_ms")]
     pub duration_ms: f64,
-    /// No session is moved again within this, unless its node drains or nobody serves it any more.
+    /// Shortest time in seconds between two migrations of a session, unless its node drains or no longer serves it.
     #[garde(range(min = 0.0, max = 3600.0))]
-    #[serde(default = "again_s", rename = "again_s")]
+    #[serde(default = "default_cooldown_s", rename = "again_s")]
     pub cooldown_s: f64,
-    /// A shortage that has lasted so long is a cause to move.
+    /// Duration of a shortage, in seconds, after which sessions may migrate because of it.
     #[garde(range(min = 1.0, max = 3600.0))]
-    #[serde(default = "lasts_s", rename = "lasts_s")]
+    #[serde(default = "default_min_shortage_s", rename = "lasts_s")]
     pub min_shortage_s: f64,
-    /// Moves under way at most, from and to one node.
+    /// Maximum number of concurrent migrations from and to one node.
     #[garde(range(min = 1, max = 10_000))]
-    #[serde(default = "at_node", rename = "at_node")]
+    #[serde(default = "default_max_per_node", rename = "at_node")]
     pub max_per_node: usize,
-    /// Moves under way at most, of one director.
+    /// Maximum number of concurrent migrations of one director.
     #[garde(range(min = 1, max = 100_000))]
-    #[serde(default = "at_front", rename = "at_front")]
+    #[serde(default = "default_max_per_director", rename = "at_front")]
     pub max_per_director: usize,
-    /// A move costs as much as so many seconds of the session: for less it is not made.
+    /// Cost of a migration, in seconds of the session's utility. A session does not migrate for a smaller gain.
     #[garde(range(min = 0.0, max = 3600.0))]
-    #[serde(default = "costs_s", rename = "costs_s")]
+    #[serde(default = "default_cost_s", rename = "costs_s")]
     pub cost_s: f64,
 }
 
-fn takes_ms() -> f64 {
+fn default_duration_ms() -> f64 {
     700.0
 }
 
-fn again_s() -> f64 {
+fn default_cooldown_s() -> f64 {
     5.0
 }
 
-fn lasts_s() -> f64 {
+fn default_min_shortage_s() -> f64 {
     6.0
 }
 
-fn at_node() -> usize {
+fn default_max_per_node() -> usize {
     16
 }
 
-fn at_front() -> usize {
+fn default_max_per_director() -> usize {
     64
 }
 
-fn costs_s() -> f64 {
+fn default_cost_s() -> f64 {
     1.0
 }
 
 impl MigrationSettings {
-    /// As the engine is told.
+    /// Converts the settings to those of the engine.
     pub(crate) fn policy(&self) -> MigrationPolicy {
         MigrationPolicy {
             duration: from_millis(self.duration_ms),
--- a/crates/settings/src/rule.rs
+++ b/crates/settings/src/rule.rs
@@ -1,52 +1,52 @@
-//! The rules between the fields of a file, each with the figures that a person needs to put the file right.
+//! Rules between the fields of a file. Each violation contains the values that are needed to correct the file.
 
 use thiserror::Error;
 
-/// A rule between fields that a file breaks.
+/// A violated rule between fields.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Rule {
-    /// A class's floor is above the ladder.
+    /// A class's lowest rung is above the ladder.
     #[error("the ladder has rungs 0 to {highest}")]
     FloorAboveLadder {
         /// The highest rung of the ladder.
         highest: usize,
     },
-    /// A class's top is below its floor or above the ladder.
+    /// A class's highest rung is below its lowest one or above the ladder.
     #[error("has to lie from the floor {floor} to {highest}")]
     TopOutsideLadder {
-        /// The class's floor.
+        /// The class's lowest rung.
         floor: usize,
         /// The highest rung of the ladder.
         highest: usize,
     },
-    /// A class's latency objective is longer than its viewers wait.
+    /// A class's latency objective is longer than the time that its viewers wait.
     #[error("has to be within give_up_ms")]
     ObjectiveBeyondTimeout,
-    /// Rates of the ladder don't rise.
+    /// The rates of the ladder do not increase.
     #[error("rates have to rise from rung to rung")]
     LadderNotRising,
-    /// A cell that the layout doesn't have.
+    /// The cell does not exist in the layout.
     #[error("cells are 0 to {highest}")]
     UnknownCell {
         /// The highest cell of the layout.
         highest: u64,
     },
-    /// A title is in more cells than there are.
+    /// A title is hosted by more cells than exist.
     #[error("there are {cells} cells")]
     SpreadBeyondCells {
-        /// Cells of the layout.
+        /// Number of cells in the layout.
         cells: u64,
     },
-    /// A director's number is not below how many there are.
+    /// A director's number is not below the number of directors.
     #[error("has to be under directors, {directors}")]
     NumberNotBelowDirectors {
-        /// Directors of the site.
+        /// Number of directors of the site.
         directors: u32,
     },
-    /// Sessions may be moved, but there is no key for the tickets.
+    /// Migrations are enabled, but the key for their tickets is missing.
     #[error("is needed where the site has moves")]
     TicketKeyMissing,
-    /// A zone that the site doesn't have.
+    /// The site does not have the zone.
     #[error("is none of the site's zones: {known}")]
     UnknownZone {
         /// The site's zones.
@@ -55,75 +55,75 @@
     /// The longest session is shorter than the shortest.
     #[error("has to be at least shortest_s")]
     LongestBelowShortest,
-    /// Parts of the mix of classes are negative, or all 0.
+    /// Frequencies of classes are negative, or all are 0.
     #[error("parts have to be 0 or more, and some above")]
     MixWithoutParts,
-    /// The mix names a class that the site doesn't have.
+    /// The mix contains a class that the site does not have.
     #[error("'{name}' is no class of the site: {known}")]
     UnknownClassInMix {
-        /// The class as the mix names it.
+        /// The unknown class.
         name: String,
         /// The site's classes.
         known: String,
     },
-    /// Classes of a hosted day have what a tenant's can't.
+    /// Classes of a hosted day have settings that tenants' classes do not support.
     #[error("tenants' classes have neither scale nor live: leave them out of the site's")]
     HostedClassWithScaleOrLive,
     /// A tenant of a hosted day has no share.
     #[error("each tenant of the site needs a share above 0")]
     HostedTenantWithoutShare,
-    /// Viewers of a tenant that the site doesn't have, or that never come.
+    /// The load has a tenant that the site does not have, or one with a rate of 0.
     #[error("has to be a tenant of the site, and its rate above 0")]
     UnknownTenantOrNoRate,
-    /// Session lengths of a class that the site doesn't have, or that are no range.
+    /// Session lengths are given for a class that the site does not have, or are not a valid range.
     #[error("is for a class of the site, from 0.1 s on, the shortest first")]
     InvalidClassLengths,
-    /// A machine's name is no number.
+    /// A machine's name is not a number.
     #[error("machines are named by their numbers")]
     MachineNameNotNumber,
     /// A machine's kind is not one of the site's.
     #[error("is no kind of the site")]
     UnknownKind,
-    /// Not as many uplinks as racks.
+    /// The number of uplinks differs from the number of racks.
     #[error("there are {racks} racks")]
     UplinkCount {
-        /// Racks of the layout.
+        /// Number of racks in the layout.
         racks: u64,
     },
-    /// An uplink without bandwidth.
+    /// The capacity of an uplink is not positive.
     #[error("each has to be above 0")]
     UplinkNotPositive,
     /// A fault ends after the day.
     #[error("runs past the day's {seconds} s")]
     FaultBeyondDay {
-        /// Length of the day.
+        /// Length of the day in seconds.
         seconds: f64,
     },
-    /// A value that this kind of fault needs is missing.
+    /// A value that this kind of fault requires is missing.
     #[error("has to be given, above 0")]
     FaultValueMissing,
-    /// A neighbour takes more than the whole link.
+    /// Another program would use more than the whole link.
     #[error("is a part of the link, 1 at most")]
     FaultSizeBeyondLink,
-    /// A fault meets a zone, tenant, title or class that isn't there.
+    /// A fault's target is a zone, tenant, title or class that does not exist.
     #[error("has to be one of: {known}")]
     UnknownFaultTarget {
-        /// What it may meet.
+        /// The possible targets.
         known: String,
     },
 }
 
-/// A broken rule, and where.
+/// A violated rule, with its location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Path of the value within the file, as `site.class.open.floor`.
+    /// Path of the value within the file, such as `site.class.open.floor`.
     pub path: String,
-    /// What it breaks.
+    /// The violated rule.
     pub rule: Rule,
 }
 
 impl Violation {
-    /// `rule` is broken at `path`.
+    /// Creates a violation of `rule` at `path`.
     pub fn new(path: impl Into<String>, rule: Rule) -> Violation {
         Violation {
             path: path.into(),
@@ -132,7 +132,7 @@
     }
 }
 
-/// Names as a person reads them: `a, b, c`.
+/// Joins names with commas: `a, b, c`.
 pub(crate) fn joined<'a>(names: impl IntoIterator<Item = &'a String>) -> String {
     let names: Vec<&str> = names.into_iter().map(String::as_str).collect();
     names.join(", ")
--- a/crates/settings/src/server.rs
+++ b/crates/settings/src/server.rs
@@ -1,4 +1,4 @@
-//! The file of `shalewall serve`: one director of the service, where its tenants come from, and its site.
+//! The settings file of `shalewall serve`: one director of the service, the source of its tenants, and its site.
 
 use crate::SettingsFile;
 use crate::rule::{Rule, Violation};
@@ -8,92 +8,93 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The file of `shalewall serve`.
+/// The settings file of `shalewall serve`.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ServerConfig {
-    /// The director itself.
+    /// Settings of this director.
     #[garde(dive)]
     pub front: DirectorSettings,
-    /// Absent: the director is not shared by tenants.
+    /// Source of hosted tenants; `None`: tenants are not hosted.
     #[garde(dive)]
     pub hosting: Option<Hosting>,
-    /// What it shares with the site's other directors.
+    /// Settings that all directors of the site share.
     #[garde(dive)]
     pub site: Site,
 }
 
-/// One director of the service.
+/// Settings of one director of the service.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct DirectorSettings {
-    /// Where viewers reach it; port 0 takes a free one.
+    /// Address for viewers' connections; port 0 selects a free port.
     #[garde(skip)]
     pub listen: SocketAddr,
-    /// Where the list of servers is watched.
+    /// Address of the endpoint list service.
     #[garde(skip)]
     #[serde(rename = "list")]
     pub endpoint_list: SocketAddr,
-    /// Its number among the directors, from 0.
+    /// Its number among the site's directors, from 0.
     #[garde(range(max = 1023))]
     pub number: u32,
-    /// How many directors the site has.
+    /// Number of directors of the site.
     #[garde(range(min = 1, max = 1024))]
     #[serde(rename = "directors")]
     pub director_count: u32,
-    /// The zone of the site that it runs in, where it has one.
+    /// The zone in which it runs, if any.
     #[garde(skip)]
     pub zone: Option<String>,
-    /// Seeds the module's random choices.
+    /// Seed of the decision module's pseudo-random choices.
     #[garde(skip)]
     #[serde(default)]
     pub seed: u64,
-    /// Sessions held at most; further requests are turned away.
+    /// Maximum number of sessions; further requests are rejected.
     #[garde(range(min = 1, max = 10_000_000))]
-    #[serde(default = "most_sessions", rename = "most_sessions")]
+    #[serde(default = "default_max_sessions", rename = "most_sessions")]
     pub max_sessions: usize,
-    /// Viewers' connections at most.
+    /// Maximum number of viewers' connections.
     #[garde(range(min = 1, max = 1_000_000))]
-    #[serde(default = "most_connections", rename = "most_connections")]
+    #[serde(default = "default_max_connections", rename = "most_connections")]
     pub max_connections: usize,
-    /// A node's event stream without any byte for so long counts as broken.
+    /// Time without data, in milliseconds, after which a node's event stream is considered broken.
     #[garde(range(min = 100, max = 600_000))]
-    #[serde(default = "silence_ms", rename = "silence_ms")]
+    #[serde(default = "default_stream_timeout_ms", rename = "silence_ms")]
     pub stream_timeout_ms: u64,
-    /// Told to end, it waits so long for sessions that play; requests that wait are answered in any case.
+    /// Longest time that a graceful shutdown waits for playing sessions, in seconds. Pending requests are answered in
+    /// any case.
     #[garde(range(min = 0.0, max = 86_400.0))]
     #[serde(default, rename = "leave_s")]
     pub shutdown_grace_s: f64,
-    /// File of 32 bytes in hexadecimal that fronts and nodes share: seals the tickets of hand-overs. Needed where the
-    /// site has `moves`.
+    /// File with a key of 32 bytes in hexadecimal, shared by directors and nodes, that seals migration tickets.
+    /// Required if the site has `moves`.
     #[garde(skip)]
     #[serde(rename = "move_key_file")]
     pub ticket_key_file: Option<PathBuf>,
 }
 
-fn most_sessions() -> usize {
+fn default_max_sessions() -> usize {
     100_000
 }
 
-fn most_connections() -> usize {
+fn default_max_connections() -> usize {
     20_000
 }
 
-fn silence_ms() -> u64 {
+fn default_stream_timeout_ms() -> u64 {
     3_000
 }
 
-/// Where a director of a hosted service has its tenants from.
+/// The source of a director's hosted tenants.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Hosting {
-    /// The administration API.
+    /// Address of the administration API.
     #[garde(skip)]
     pub admin: SocketAddr,
-    /// File that holds a director's token, and nothing else.
+    /// File that contains only the director's token.
     #[garde(skip)]
     pub token_file: PathBuf,
-    /// Set-ups a second that this director can make: what shares are parts of.
+    /// Capacity of this director in set-ups per second, of which tenants get their shares.
     #[garde(range(min = 1.0, max = 1_000_000.0))]
     pub set_ups_per_s: f64,
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,7 +1,8 @@
-//! A site: what all its directors are told, by concern, and what has to hold between the parts.
+//! Settings that all directors of a site share.
 //!
-//! [`traffic`] has classes, tenants and the ladder, [`capacity`] machines, links and titles, [`policy`] rules, limits
-//! and costs. `module_settings` turns a site into what the module and the engine are told.
+//! [`traffic`] contains classes, tenants and the ladder, [`capacity`] machines, links and titles, [`policy`] rules,
+//! limits and costs. `module_settings` converts a site to the settings of the decision module and the engine, and
+//! `violations` checks the rules between fields.
 
 pub mod capacity;
 mod module_settings;
@@ -17,19 +18,19 @@
 use std::collections::BTreeMap;
 use traffic::{Class, LadderRung, Tenant};
 
-/// What all directors of a site share.
+/// Settings that all directors of a site share.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// Names of the zones; directors and nodes are in one each.
+    /// Names of the zones. Each director and node is in one of them.
     #[garde(skip)]
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Kinds of machine by name.
+    /// Machine kinds by name.
     #[garde(dive)]
     #[serde(default, rename = "kind")]
     pub kinds: BTreeMap<String, MachineKind>,
-    /// Classes of request by name.
+    /// Request classes by name.
     #[garde(dive, length(min = 1))]
     #[serde(rename = "class")]
     pub classes: BTreeMap<String, Class>,
@@ -37,30 +38,30 @@
     #[garde(dive)]
     #[serde(default, rename = "tenant")]
     pub tenants: BTreeMap<String, Tenant>,
-    /// Lowest rung first.
+    /// The ladder of rates, lowest rung first.
     #[garde(dive, length(min = 1, max = 64))]
     pub ladder: Vec<LadderRung>,
-    /// Where titles are and which nodes share an uplink.
+    /// Cells and racks: which nodes host a title, and which share an uplink.
     #[garde(dive)]
     pub layout: Layout,
-    /// Bandwidth of nodes and racks.
+    /// Link capacities of nodes and racks.
     #[garde(dive)]
     pub link: Link,
-    /// Notifications of nodes.
+    /// Timing of the nodes' notifications.
     #[garde(dive)]
     #[serde(default, rename = "notes")]
     pub notifications: Notifications,
-    /// What the decisions weigh against each other.
+    /// Costs that decisions weigh against each other.
     #[garde(dive)]
     #[serde(default)]
     pub costs: Costs,
-    /// Figures of the rules that the service is judged by.
+    /// Parameters of the rules that the service has to follow.
     #[garde(dive)]
     pub rules: Rules,
-    /// What directors are permitted.
+    /// Limits for directors.
     #[garde(dive)]
     pub limits: Limits,
-    /// Absent: sessions stay where they play.
+    /// Settings of migrations; `None`: sessions do not migrate.
     #[garde(dive)]
     pub moves: Option<MigrationSettings>,
     /// Titles by name.
--- a/crates/settings/src/site/module_settings.rs
+++ b/crates/settings/src/site/module_settings.rs
@@ -1,4 +1,4 @@
-//! A site as the decision module and the engine are told of it.
+//! Converts a site's settings to those of the decision module and the engine.
 
 use super::Site;
 use super::capacity::Title;
@@ -13,7 +13,7 @@
 use shalewall_engine::{Config, NamedClass, TitlePlacement};
 
 impl Site {
-    /// Classes in the order of the module's indices, with how long their viewers wait.
+    /// Classes in the order of the module's indices, with the longest wait of their viewers.
     pub fn classes(&self) -> Vec<NamedClass> {
         let classes = self.classes.iter();
         classes
@@ -24,7 +24,7 @@
             .collect()
     }
 
-    /// What the engine of one director is told. `incarnation` distinguishes this start of the director from others.
+    /// The engine's configuration for one director. `incarnation` distinguishes this start of the director from others.
     pub fn config(&self, front: &DirectorSettings, incarnation: u16) -> Config {
         let titles = self.titles.iter();
         Config {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What the module of one director is told.
+    /// The decision module's settings for one director.
     pub fn settings(&self, front: &DirectorSettings) -> Settings {
         let highest_rung = self.ladder.len().saturating_sub(1);
         let classes = self.classes.values();
@@ -119,7 +119,7 @@
 }
 
 impl Class {
-    /// As the module is told; `highest_rung`: that of the ladder.
+    /// Converts the class; `highest_rung` is that of the ladder.
     fn settings(&self, highest_rung: usize) -> ClassSettings {
         let idempotency = if self.paid {
             Idempotency::AtMostOnce
@@ -140,7 +140,7 @@
 }
 
 impl Tenant {
-    /// As the module is told; `all_shares`: the sum over the site's tenants.
+    /// Converts the tenant; `all_shares` is the sum of the shares of the site's tenants.
     fn settings(&self, all_shares: f64) -> TenantSettings {
         let fleet_quota = if all_shares > 0.0 {
             self.share / all_shares
--- a/crates/settings/src/site/violations.rs
+++ b/crates/settings/src/site/violations.rs
@@ -6,7 +6,7 @@
 use crate::rule::{Rule, Violation};
 
 impl Site {
-    /// The rules between fields that the site breaks.
+    /// The rules between fields that the site violates.
     pub(crate) fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for (name, class) in &self.classes {
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,18 +1,18 @@
-//! The text of a settings file, and where in it something is.
+//! The text of a settings file, with locations of its paths.
 
 use crate::error::{Error, Location, Problem};
 use crate::locate;
 use hcl_edit::structure::Body;
 use std::path::Path;
 
-/// A file's name and what is in it.
+/// Name and text of a file.
 pub(crate) struct Source {
     name: String,
     text: String,
 }
 
 impl Source {
-    /// A text that is given; `name` stands for the file in errors.
+    /// Creates a source from a text. Errors use `name` as the file's name.
     pub(crate) fn new(name: &str, text: &str) -> Source {
         Source {
             name: name.to_string(),
@@ -52,7 +52,7 @@
         })
     }
 
-    /// The file of the same folder that this one includes.
+    /// Name of the file in the same folder that this one includes, if any.
     pub(crate) fn include(&self) -> Result<Option<String>, Error> {
         let body = self.body()?;
         let Some(include) = body.get_attribute("include") else {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// How many parts of a path this text has.
+    /// Number of leading parts of a path that this text contains.
     pub(crate) fn depth_of(&self, path: &str) -> usize {
         locate::find(&self.text, path).map_or(0, |found| found.depth)
     }
 
-    /// An error at a path of this text.
+    /// Creates an error at a path of this text.
     pub(crate) fn error_at(&self, path: &str, problem: Problem) -> Error {
         Error {
             location: Location {
--- a/crates/settings/tests/errors.rs
+++ b/crates/settings/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Errors name file, line, path and what would be right.
+//! Errors contain file, line, path and the allowed values.
 
 use shalewall_settings::{DayPlan, Error, ServerConfig, parse};
 
@@ -11,21 +11,21 @@
 }
 
 fn errors(text: &str) -> Vec<Error> {
-    parse::<DayPlan>("x.hcl", text).expect_err("something is wrong with it")
+    parse::<DayPlan>("x.hcl", text).expect_err("the day is invalid")
 }
 
-/// The day with one line changed, and the number of that line.
+/// The day with one text replaced, and the line number of the replacement.
 fn changed(from: &str, to: &str) -> (String, usize) {
     let text = day();
     let at = text
         .find(from)
-        .unwrap_or_else(|| panic!("{from} is in the day"));
+        .unwrap_or_else(|| panic!("{from} is not in the day"));
     let line = text[..at].matches('\n').count() + 1;
     (text.replacen(from, to, 1), line)
 }
 
 #[test]
-fn the_bad_day_is_right_and_becomes_settings() {
+fn the_day_is_valid_and_converts_to_settings() {
     let plan: DayPlan = parse("x.hcl", &day()).unwrap();
     assert_eq!(plan.faults.len(), 8);
     let front = r#"
@@ -40,24 +40,24 @@
     let site = day();
     let (from, to) = (site.find("site {").unwrap(), site.find("fleet {").unwrap());
     let plan: ServerConfig = parse("y.hcl", &format!("{front}{}", &site[from..to])).unwrap();
-    let set = plan.site.settings(&plan.front);
+    let module_settings = plan.site.settings(&plan.front);
     assert_eq!(
         (
-            set.director_index,
-            set.zone,
-            set.classes.len(),
-            set.ladder.len()
+            module_settings.director_index,
+            module_settings.zone,
+            module_settings.classes.len(),
+            module_settings.ladder.len()
         ),
         (1, Some(2), 2, 5)
     );
-    // Written out and read again it is the same: that is how a day gives each director its file.
+    // A round trip through HCL preserves the settings. This is how a scripted day passes them to each director.
     let text = hcl::to_string(&plan).unwrap();
-    let again: ServerConfig = parse("z.hcl", &text).unwrap();
-    assert_eq!(again.site.settings(&again.front), set);
+    let reparsed: ServerConfig = parse("z.hcl", &text).unwrap();
+    assert_eq!(reparsed.site.settings(&reparsed.front), module_settings);
 }
 
 #[test]
-fn each_error_names_its_line_and_path() {
+fn each_error_contains_its_line_and_path() {
     let table = [
         ("seconds        = 45", "seconds = 0", "day.seconds"),
         ("floor      = 1", "floor = 9", "site.class.report.floor"),
@@ -111,9 +111,9 @@
             .find(|e| e.location.path.starts_with(path))
             .unwrap_or_else(|| panic!("{path}: {found:?}"));
         assert_eq!(one.location.file, "x.hcl");
-        let near = one.location.line.unwrap_or(0).abs_diff(line);
+        let distance = one.location.line.unwrap_or(0).abs_diff(line);
         assert!(
-            near <= 12,
+            distance <= 12,
             "{path}: line {:?}, changed was {line}: {one}",
             one.location.line
         );
@@ -131,19 +131,19 @@
 }
 
 #[test]
-fn text_that_is_no_hcl_is_told_with_its_line() {
+fn invalid_hcl_is_reported_with_its_line() {
     let found = errors("day {\n  seconds = = 4\n}\n");
     assert_eq!(found[0].location.line, Some(2), "{}", found[0]);
     assert!(
         errors("")
             .iter()
             .any(|e| e.problem.to_string().contains("day")),
-        "what is missing is named"
+        "the missing block is named"
     );
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once() {
+fn all_errors_are_reported_together() {
     let (text, _) = changed("per_s      = 9", "per_s = 0");
     let text = text.replacen("nodes        = 15", "nodes = 0", 1).replacen(
         "seats      = 12",
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn of_a_file_that_includes_another_errors_name_the_one_that_says_it() {
+fn errors_name_the_including_or_the_included_file() {
     let dir = tempfile::tempdir().unwrap();
     let file = |name: &str, text: &str| {
         std::fs::write(dir.path().join(name), text).unwrap();
@@ -163,7 +163,7 @@
     let text = day();
     let at = text.find("trouble ").unwrap();
     file("house.hcl", &text[..at]);
-    let wrong = |own: &str| {
+    let locations = |own: &str| {
         let found = shalewall_settings::read::<DayPlan>(&file("own.hcl", own)).expect_err("wrong");
         let short = |e: &Error| {
             (
@@ -174,7 +174,7 @@
         };
         found.iter().map(short).collect::<Vec<_>>()
     };
-    // Its own words go before the included ones, block by block.
+    // The file's own values override the included ones, block by block.
     let own = "include = \"house.hcl\"\n\nday {\n  seconds = 7\n}\n";
     let plan: DayPlan = shalewall_settings::read(&file("own.hcl", own)).unwrap();
     let whole: DayPlan = parse("x.hcl", &text).unwrap();
@@ -185,11 +185,11 @@
     assert_eq!(plan.site.classes.len(), whole.site.classes.len());
     let own = |what: &str| format!("include = \"house.hcl\"\n\n{what}\n");
     assert_eq!(
-        wrong(&own("day {\n  seconds = 0\n}")),
+        locations(&own("day {\n  seconds = 0\n}")),
         [("own.hcl".into(), Some(4), "day.seconds".into())]
     );
-    assert_eq!(wrong(&own("day {\n  secs = 1\n}"))[0].0, "own.hcl");
-    // What is wrong stands in the house.
+    assert_eq!(locations(&own("day {\n  secs = 1\n}"))[0].0, "own.hcl");
+    // The invalid value is in the included file.
     let line = text[..text.find("floor      = 1").unwrap()]
         .matches('\n')
         .count()
@@ -199,7 +199,7 @@
         &text[..at].replacen("floor      = 1", "floor = 9", 1),
     );
     assert_eq!(
-        wrong(&own("")),
+        locations(&own("")),
         [(
             "house.hcl".into(),
             Some(line),
@@ -207,8 +207,8 @@
         )]
     );
     assert_eq!(
-        wrong("include = \"../x.hcl\"\n"),
+        locations("include = \"../x.hcl\"\n"),
         [("own.hcl".into(), Some(1), "include".into())]
     );
-    assert_eq!(wrong("include = \"none.hcl\"\n")[0].0, "none.hcl");
+    assert_eq!(locations("include = \"none.hcl\"\n")[0].0, "none.hcl");
 }
--- a/crates/settings/tests/stored_forms.rs
+++ b/crates/settings/tests/recorded_files.rs
@@ -1,6 +1,6 @@
-//! Settings files in the form of 2026-12-02, before any renaming: every later version reads them with the same result.
+//! Settings files in the format of 2026-12-02: every later version must read them with the same result.
 //!
-//! The JSON files beside the HCL ones hold each value that the version of that date read, defaults included.
+//! The JSON files next to the HCL ones contain each value that the version of that date read, including defaults.
 
 use serde::Serialize;
 use shalewall::TimeDelta;
@@ -13,9 +13,9 @@
         .join(name)
 }
 
-/// Reads a fixture and compares the result, as settings files name it, with the recorded one.
+/// Reads a fixture and compares the result, with the field names of settings files, with the recorded one.
 fn read_as_recorded<T: SettingsFile + Serialize>(name: &str) -> T {
-    let settings: T = read(&fixture(&format!("{name}.hcl"))).expect("the fixture is right");
+    let settings: T = read(&fixture(&format!("{name}.hcl"))).expect("the fixture is valid");
     let recorded = std::fs::read_to_string(fixture(&format!("{name}.json"))).unwrap();
     let recorded: serde_json::Value = serde_json::from_str(&recorded).unwrap();
     let result = serde_json::to_value(&settings).unwrap();
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn a_site_of_the_version_before_becomes_the_same_settings() {
+fn a_recorded_site_converts_to_the_same_settings() {
     let plan: ServerConfig = read_as_recorded("site");
     let module = plan.site.settings(&plan.front);
     assert_eq!((module.director_index, module.director_count), (2, 5));
     assert_eq!(module.zone, Some(1));
     assert_eq!(module.classes.len(), 2);
-    // In the order of their names: call, film.
+    // Sorted by name: call, film.
     let (call, film) = (&module.classes[0], &module.classes[1]);
     assert_eq!(film.idempotency, shalewall::Idempotency::AtMostOnce);
     assert_eq!(call.idempotency, shalewall::Idempotency::Idempotent);
@@ -45,7 +45,7 @@
     assert_eq!((film.rate_scale, call.rate_scale), (1.5, 1.0));
     assert_eq!((film.is_live, call.is_live), (false, true));
     assert_eq!(film.session_limit_per_title, 12);
-    // In the order of their names: acme, guest, zeta.
+    // Sorted by name: acme, guest, zeta.
     let quotas: Vec<f64> = module.tenants.iter().map(|t| t.fleet_quota).collect();
     assert_eq!(quotas, [0.75, 0.0, 0.25]);
     assert_eq!(module.tenants[0].request_quota_per_s, 7.0);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_short_site_of_the_version_before_takes_the_same_defaults() {
+fn a_recorded_short_site_gets_the_same_defaults() {
     let plan: ServerConfig = read_as_recorded("site-defaults");
     assert_eq!(plan.front.max_sessions, 100_000);
     assert_eq!(plan.front.max_connections, 20_000);
@@ -91,13 +91,13 @@
 }
 
 #[test]
-fn a_day_of_the_version_before_becomes_the_same_plan() {
+fn a_recorded_day_converts_to_the_same_plan() {
     let plan: DayPlan = read_as_recorded("day");
-    // Its own word goes before the included file's, field by field.
+    // The file's own values override those of the included file, field by field.
     assert_eq!((plan.day.seed, plan.day.directors), (9, 2));
     assert_eq!((plan.day.seconds, plan.day.media_fraction), (60.0, 0.02));
-    let moves = plan.site.moves.as_ref().unwrap();
-    assert_eq!((moves.duration_ms, moves.max_per_node), (900.0, 3));
+    let migration = plan.site.moves.as_ref().unwrap();
+    assert_eq!((migration.duration_ms, migration.max_per_node), (900.0, 3));
     assert_eq!(plan.site.tenants["acme"].share, 3.0);
     assert_eq!(plan.hosted.as_ref().unwrap().max_sessions, 500);
     assert_eq!(plan.fleet.machines["7"].zone, "");
@@ -105,7 +105,7 @@
     let kinds: std::collections::BTreeSet<String> = plan
         .faults
         .values()
-        .map(|trouble| format!("{:?}", trouble.kind))
+        .map(|fault| format!("{:?}", fault.kind))
         .collect();
     assert_eq!(kinds.len(), 15, "one of each kind: {kinds:?}");
     assert_eq!(plan.faults["director kill"].targets, Some(vec![1]));
@@ -117,16 +117,16 @@
 }
 
 #[test]
-fn an_administration_file_of_the_version_before_is_read_the_same() {
+fn a_recorded_administration_file_gives_the_same_settings() {
     let plan: AdminConfig = read_as_recorded("admin");
     assert_eq!(plan.admin.forget_front_s, 120.0);
     assert_eq!(plan.admin.store, Path::new("data/tenants.redb"));
 }
 
-/// Reads a wrong fixture and compares the lines that its user is shown with the recorded ones.
-fn refused_as_recorded<T: SettingsFile>(name: &str) {
+/// Reads an invalid fixture and compares the displayed errors with the recorded ones.
+fn assert_recorded_errors<T: SettingsFile>(name: &str) {
     let Err(errors) = read::<T>(&fixture(&format!("{name}.hcl"))) else {
-        panic!("{name} has to be refused");
+        panic!("{name} has to be rejected");
     };
     let folder = fixture("").display().to_string();
     let shown: String = errors
@@ -138,17 +138,17 @@
 }
 
 #[test]
-fn wrong_files_of_the_version_before_are_refused_in_the_same_words() {
-    refused_as_recorded::<DayPlan>("wrong-day");
-    refused_as_recorded::<ServerConfig>("wrong-site");
-    refused_as_recorded::<DayPlan>("wrong-form");
-    refused_as_recorded::<DayPlan>("wrong-syntax");
-    refused_as_recorded::<DayPlan>("wrong-include");
-    refused_as_recorded::<AdminConfig>("missing-include");
-    refused_as_recorded::<AdminConfig>("missing-file");
+fn invalid_files_give_the_recorded_errors() {
+    assert_recorded_errors::<DayPlan>("wrong-day");
+    assert_recorded_errors::<ServerConfig>("wrong-site");
+    assert_recorded_errors::<DayPlan>("wrong-form");
+    assert_recorded_errors::<DayPlan>("wrong-syntax");
+    assert_recorded_errors::<DayPlan>("wrong-include");
+    assert_recorded_errors::<AdminConfig>("missing-include");
+    assert_recorded_errors::<AdminConfig>("missing-file");
 }
 
-/// The fields of a fixture that hold one number: (line, name).
+/// Line and name of each field of a fixture whose value is a number.
 fn numbers(text: &str) -> Vec<(usize, String)> {
     let fields = text.lines().enumerate().filter_map(|(index, line)| {
         let (name, value) = line.split_once('=')?;
@@ -158,15 +158,16 @@
     fields.collect()
 }
 
-/// Gives each number of a fixture a wrong value. Returns how many there were.
-fn each_number_is_refused_by_its_name<T: SettingsFile>(file: &str) -> usize {
+/// Sets each number of a fixture in turn to an invalid value and checks that the error contains the field's line and
+/// name. Returns the count of numbers.
+fn check_errors_of_numbers<T: SettingsFile>(file: &str) -> usize {
     let text = std::fs::read_to_string(fixture(file)).unwrap();
     let numbers = numbers(&text);
     for (index, name) in &numbers {
         let mut lines: Vec<String> = text.lines().map(str::to_string).collect();
         lines[*index] = format!("{name} = -1e20");
         let Err(errors) = parse::<T>("x.hcl", &lines.join("\n")) else {
-            panic!("{file}: {name} = -1e20 is taken");
+            panic!("{file}: {name} = -1e20 is accepted");
         };
         let is_named = errors.iter().any(|error| {
             let location = &error.location;
@@ -178,13 +179,13 @@
     numbers.len()
 }
 
-/// Whatever fields are called in the code, errors call them by the names of files.
+/// Errors use the field names of files, which differ from those in the code.
 #[test]
-fn each_wrong_number_is_told_with_the_name_and_line_of_its_field() {
-    let count = each_number_is_refused_by_its_name::<ServerConfig>("site.hcl");
+fn each_invalid_number_is_reported_with_its_fields_name_and_line() {
+    let count = check_errors_of_numbers::<ServerConfig>("site.hcl");
     assert!(count >= 40, "{count}");
-    let count = each_number_is_refused_by_its_name::<DayPlan>("all-fields-day.hcl");
+    let count = check_errors_of_numbers::<DayPlan>("all-fields-day.hcl");
     assert!(count >= 60, "{count}");
-    let count = each_number_is_refused_by_its_name::<AdminConfig>("admin.hcl");
+    let count = check_errors_of_numbers::<AdminConfig>("admin.hcl");
     assert_eq!(count, 1);
 }
