--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The ordinary path, D(C0): which holder, which rung, and when a request is rejected.
+//! The normal path of a request: which server and which rung it gets, and when it is rejected.
 
 mod common;
 
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn utilization_decides_between_asked_rung_lower_rung_and_rejection() {
+fn utilization_decides_between_preferred_rung_lower_rung_and_rejection() {
     for (share, want) in [
         (0.2, Some(4)),
         (0.70, Some(3)),
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn the_least_loaded_holder_is_chosen_also_within_one_rack() {
-    // Servers 1 and 3 share a rack whose uplink is fuller than their links (round 6).
+fn the_least_loaded_server_is_chosen_also_within_one_rack() {
+    // Servers 1 and 3 share a rack whose uplink has a higher utilization than their links.
     let mut harness = DirectorHarness::new(settings(), 4);
     for (id, share) in [(1, 0.5), (2, 0.6), (3, 0.1), (4, 0.6)] {
         harness.report_utilization(99, ServerId(id), share, 0.6);
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn only_holders_of_the_title_are_chosen() {
+fn only_servers_that_host_the_title_are_chosen() {
     let mut harness = DirectorHarness::new(settings(), 4);
     let request = Request {
         first_cell: 3,
         replica_cells: 2,
         ..viewer_request(1, IDEMPOTENT, harness.now)
     };
-    let cells = [ServerId(4), ServerId(1)]; // cells 3 and 0, around the end
+    let cells = [ServerId(4), ServerId(1)]; // Cells 3 and 0: consecutive cells wrap around.
     assert!(
         cells
             .contains(&attempted_server(&harness.handle(Event::RequestReceived(request))).unwrap())
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn odd_input_neither_panics_nor_acts_illegally() {
+fn invalid_input_causes_no_panics_and_no_illegal_actions() {
     let mut harness = DirectorHarness::new(settings(), 2);
     assert!(
         is_rejected(&harness.request_session(1, 77)),
@@ -144,12 +144,12 @@
     let mut harness = DirectorHarness::new(zero, 2);
     assert!(
         attempted_server(&harness.request_session(1, IDEMPOTENT)).is_some(),
-        "unknown capacities do not empty the fleet"
+        "servers with unknown capacity are used"
     );
 }
 
 #[test]
-fn a_crossing_of_zones_counts_as_much_as_its_price_says() {
+fn a_zone_crossing_adds_load_in_proportion_to_its_price() {
     for (price, share, want) in [(0.04, 0.3, 1), (0.04, 0.9, 2), (0.0, 0.3, 2)] {
         let mut settings = Settings {
             zone: Some(0),
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn odd_sizes_of_fleet_and_directors_give_legal_actions() {
+fn extreme_fleet_and_director_counts_give_legal_actions() {
     for directors in [0, 1, 2, 300, u32::MAX] {
         for servers in [0, 1, 1000] {
             let settings = Settings {
@@ -211,7 +211,8 @@
             );
         }
     }
-    // All holders draining, or gone and replaced under the same cell: the answer comes at once.
+    // If all servers that host the title are draining or gone, requests are rejected at once. A new server in the same
+    // cell is used.
     let mut harness = DirectorHarness::new(settings(), 2);
     harness.update_endpoints(
         EndpointUpdate::Delta,
--- a/tests/capacity_estimate.rs
+++ b/tests/capacity_estimate.rs
@@ -1,4 +1,4 @@
-//! What is believed of links and uplinks, and when that is forgotten.
+//! Estimates of links and uplinks, and their expiry.
 
 mod common;
 
@@ -15,18 +15,18 @@
 }
 
 #[test]
-fn a_server_believed_full_is_retried_when_no_report_confirms_it() {
-    // Found by the audit run: notes come only on own sessions, so without any the belief stood for ever.
-    for note in [
+fn a_full_server_is_retried_when_its_reports_expire() {
+    // Notifications come only with own sessions. Without expiry, a server without sessions was considered full forever.
+    for notification in [
         Notification::LinkUtilization(1.2),
         Notification::UplinkUtilization(1.2),
         Notification::DeliveredFraction(0.5),
     ] {
         let mut harness = DirectorHarness::new(settings(), 1);
-        harness.notify(99, ServerId(1), note);
+        harness.notify(99, ServerId(1), notification);
         assert!(
             is_rejected(&harness.request_session(1, IDEMPOTENT)),
-            "{note:?}"
+            "{notification:?}"
         );
         for _ in 0..200 {
             harness.now += 200 * MILLISECOND;
@@ -34,23 +34,23 @@
         }
         assert!(
             attempted_server(&harness.request_session(2, IDEMPOTENT)).is_some(),
-            "{note:?}"
+            "{notification:?}"
         );
     }
 }
 
 #[test]
-fn a_shortage_where_the_link_is_not_full_is_one_of_the_uplink() {
-    // Incident iefaf2e: no report of uplinks came for the whole day, only notes of short delivery.
+fn a_shortage_on_a_link_that_is_not_full_is_attributed_to_the_uplink() {
+    // A fleet may report no uplink utilization at all, only shortages (incident iefaf2e).
     let mut harness = DirectorHarness::new(settings(), 4);
     for id in 1..=4 {
         harness.report_utilization(99, ServerId(id), if id % 2 == 1 { 0.2 } else { 0.5 }, 0.3);
     }
     assert!(
         attempted_server(&harness.request_session(1, IDEMPOTENT)).is_some_and(|s| s.0 % 2 == 1),
-        "the emptier links"
+        "a server with a less loaded link"
     );
-    // Servers 1 and 3 share a rack: what 1 tells bears on 3.
+    // Servers 1 and 3 share a rack, so a shortage at 1 affects 3 as well.
     for _ in 0..4 {
         harness.notify(99, ServerId(1), Notification::DeliveredFraction(0.7));
     }
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn a_crowd_between_two_reports_is_counted_for_the_other_directors_too() {
-    // Incident id3f40a: every director saw the same free capacity and all filled it.
+fn unreported_setups_are_assumed_of_the_other_directors_too() {
+    // Between two reports, every director saw the same free capacity and all of them filled it (incident id3f40a).
     let taken = |directors| {
         let mut settings = Settings {
             director_count: directors,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Scripts of events for a director: settings, requests, a harness that keeps the time, and readers of actions.
-#![allow(dead_code)] // each test file uses a part of it
+//! Test support for directors: settings, requests, a harness with simulated time, and queries on actions.
+#![allow(dead_code)] // Each test file uses only some of it.
 
 use shalewall::{
     Action, ClassSettings, Director, Endpoint, EndpointState, EndpointUpdate, Event, Idempotency,
@@ -13,10 +13,10 @@
 pub const SECOND: TimeDelta = TimeDelta::from_secs(1);
 /// Index of the class whose set-ups may be repeated.
 pub const IDEMPOTENT: usize = 0;
-/// Index of the class whose set-ups may not (lowest rung 1, three sessions of a title at most).
+/// Index of the class whose set-ups may not be repeated. Its lowest rung is 1, its limit three sessions per title.
 pub const AT_MOST_ONCE: usize = 1;
 
-/// One director, a ladder of five rungs, the two classes, and rules like the platform's.
+/// Settings with one director, a ladder of five rungs, the two classes, and rules like those of the platform.
 pub fn settings() -> Settings {
     let ladder = [
         (200.0, 0.25),
@@ -45,9 +45,9 @@
         classes: vec![class, at_most_once],
         ladder: ladder
             .iter()
-            .map(|(kb, worth)| Rung {
+            .map(|(kb, utility)| Rung {
                 rate_kb_s: *kb,
-                utility: *worth,
+                utility: *utility,
             })
             .collect(),
         cell_count: 4,
@@ -84,7 +84,7 @@
     }
 }
 
-/// A ready server in the cell before its number.
+/// A ready server in cell `id - 1`.
 pub fn endpoint(id: u64) -> Endpoint {
     Endpoint {
         server: ServerId(id),
@@ -98,7 +98,7 @@
     }
 }
 
-/// A request for a title that all four cells hold, from a viewer who waits for 4 s.
+/// A request for a title that all four cells host, from a viewer who waits for 4 s.
 pub fn viewer_request(id: u64, class: usize, now: Timestamp) -> Request {
     Request {
         session: SessionId(id),
@@ -116,14 +116,14 @@
     }
 }
 
-/// A director with the time of its script.
+/// A director with its simulated time.
 pub struct DirectorHarness {
     pub director: Director,
     pub now: Timestamp,
 }
 
 impl DirectorHarness {
-    /// Servers 1 to `servers`, ready and warm for this director.
+    /// A director with the servers 1 to `servers`, which are ready and have warmed up.
     pub fn new(settings: Settings, servers: u64) -> DirectorHarness {
         let mut harness = DirectorHarness {
             director: Director::new(1, settings, Timestamp::ZERO),
@@ -134,14 +134,14 @@
         harness
     }
 
-    /// Gives the director an event; its actions.
+    /// Passes an event to the director and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.director.handle(self.now, event, &mut out);
         out
     }
 
-    /// Brings the endpoint list, or a part of it.
+    /// Passes the endpoint list or a change of it to the director.
     pub fn update_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -150,13 +150,13 @@
         self.handle(Event::EndpointsUpdated { update, endpoints })
     }
 
-    /// A viewer asks for a session.
+    /// A viewer requests a session.
     pub fn request_session(&mut self, id: u64, class: usize) -> Vec<Action> {
         let request = viewer_request(id, class, self.now);
         self.handle(Event::RequestReceived(request))
     }
 
-    /// A session begins to play.
+    /// A session starts to play.
     pub fn start_session(&mut self, id: u64, attempt: u32, server: ServerId) -> Vec<Action> {
         self.handle(Event::SessionStarted {
             session: SessionId(id),
@@ -166,7 +166,7 @@
         })
     }
 
-    /// An attempt ends, and its request may still be owed an answer.
+    /// An attempt ends whose request may still need an answer.
     pub fn finish_attempt(
         &mut self,
         id: u64,
@@ -184,18 +184,18 @@
         })
     }
 
-    /// A session that already played there when the director began.
+    /// Transfers a session that already played at this server when the director started.
     pub fn transfer(&mut self, id: u64, class: usize, server: ServerId) {
         let request = viewer_request(id, class, self.now);
         self.handle(Event::SessionTransferred(request, server));
     }
 
-    /// The director's periodic timer fires.
+    /// Fires the director's periodic timer.
     pub fn fire_tick(&mut self) -> Vec<Action> {
         self.handle(Event::TimerFired(u64::MAX))
     }
 
-    /// Time passes, and the periodic timer fires when it is due.
+    /// Advances the time and fires the periodic timer whenever it is due.
     pub fn advance(&mut self, span: TimeDelta) {
         for _ in 0..span.as_micros() / (200 * MILLISECOND).as_micros() {
             self.now += 200 * MILLISECOND;
@@ -203,13 +203,13 @@
         }
     }
 
-    /// Link and uplink are reported, by notifications of a session.
+    /// Reports link and uplink utilization by notifications about a session.
     pub fn report_utilization(&mut self, id: u64, server: ServerId, link: f64, uplink: f64) {
         self.notify(id, server, Notification::LinkUtilization(link));
         self.notify(id, server, Notification::UplinkUtilization(uplink));
     }
 
-    /// A server notifies of a session.
+    /// A server sends a notification about a session.
     pub fn notify(&mut self, id: u64, server: ServerId, notification: Notification) -> Vec<Action> {
         self.handle(Event::Notified {
             session: SessionId(id),
@@ -220,7 +220,7 @@
     }
 }
 
-/// The server that an attempt was sent to.
+/// The server to which an attempt was sent.
 pub fn attempted_server(out: &[Action]) -> Option<ServerId> {
     out.iter().find_map(|a| match a {
         Action::StartAttempt { server, .. } => Some(*server),
@@ -246,7 +246,7 @@
     out.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Pseudo-random numbers of a fixed seed (xorshift).
+/// A pseudo-random number generator with a fixed seed (xorshift).
 pub struct RandomNumbers(pub u64);
 
 impl RandomNumbers {
--- a/tests/counts.rs
+++ b/tests/counts.rs
@@ -1,4 +1,4 @@
-//! The running counts beside the plain walks over all sessions that they stand for, on random events.
+//! Compares the running counts with a full scan of all sessions, on random events.
 
 mod common;
 
@@ -41,7 +41,7 @@
     settings
 }
 
-/// The upgrade of one session, found by itself.
+/// The upgrade of one session, computed without groups.
 fn upgrade_of(director: &Inspection, session: &SessionRecord) -> Option<usize> {
     if !session.is_playing() || director.now() < session.reconsider_at() {
         return None;
@@ -71,8 +71,8 @@
     (remaining_s * gained > settings.rung_change_cost_s).then_some(rung)
 }
 
-/// What [`Inspection::upgrades`] stands for: every session that is due, by itself.
-fn upgrades_by_walk(director: &Inspection) -> BTreeMap<SessionId, usize> {
+/// The expected result of [`Inspection::upgrades`], computed for each session on its own.
+fn upgrades_by_scan(director: &Inspection) -> BTreeMap<SessionId, usize> {
     let upgrade = |session: SessionRecord| {
         let rung = upgrade_of(director, &session)?;
         Some((session.request().session, rung))
@@ -80,19 +80,19 @@
     director.sessions().filter_map(upgrade).collect()
 }
 
-/// How many sessions are so.
+/// Number of sessions that match a predicate.
 fn count(director: &Inspection, is_counted: impl Fn(&SessionRecord) -> bool) -> usize {
     director.sessions().filter(is_counted).count()
 }
 
 fn compare_classes_and_titles(director: &Inspection) {
     for class in 0..CLASSES {
-        let walked = count(director, |session| session.request().class == class);
-        assert_eq!(director.count_of_class(class), walked);
+        let scanned = count(director, |session| session.request().class == class);
+        assert_eq!(director.count_of_class(class), scanned);
     }
     for title in (0..TITLES).map(TitleId) {
-        let walked = count(director, |session| session.request().title == title);
-        assert_eq!(director.count_of_title(title), walked);
+        let scanned = count(director, |session| session.request().title == title);
+        assert_eq!(director.count_of_title(title), scanned);
     }
 }
 
@@ -103,37 +103,37 @@
         own.map(|session| session.rate_kb_s()).sum()
     };
     for tenant in 0..TENANTS {
-        let walked = count(director, |session| session.request().tenant == Some(tenant));
+        let scanned = count(director, |session| session.request().tenant == Some(tenant));
         let counted = director.tenant(tenant);
-        assert_eq!(counted.is_some(), walked > 0);
+        assert_eq!(counted.is_some(), scanned > 0);
         let counted = counted.unwrap_or(TenantRecord {
             sessions: 0,
             rate_kb_s: 0.0,
         });
-        assert_eq!(counted.sessions, walked);
+        assert_eq!(counted.sessions, scanned);
         assert!((counted.rate_kb_s - rate_kb_s(tenant)).abs() < 1e-6);
     }
-    let walked: f64 = (0..TENANTS).map(rate_kb_s).sum();
-    assert!((director.tenants_rate_kb_s() - walked).abs() < 1e-6);
+    let scanned: f64 = (0..TENANTS).map(rate_kb_s).sum();
+    assert!((director.tenants_rate_kb_s() - scanned).abs() < 1e-6);
 }
 
 fn compare_servers(director: &Inspection) {
     for ago in [TimeDelta::ZERO, SECOND, 2 * SECOND, 3 * SECOND, 10 * SECOND] {
         let time = director.now() - ago;
-        let walked = count(director, |session| session.sent_at() > time);
-        assert_eq!(director.count_sent_after(time), walked);
+        let scanned = count(director, |session| session.sent_at() > time);
+        assert_eq!(director.count_sent_after(time), scanned);
         for server in (1..=SERVERS).map(ServerId) {
-            let walked = count(director, |session| {
+            let scanned = count(director, |session| {
                 session.server() == server && session.sent_at() > time
             });
-            assert_eq!(director.count_sent_to_after(server, time), walked);
+            assert_eq!(director.count_sent_to_after(server, time), scanned);
         }
     }
     for server in (1..=SERVERS).map(ServerId) {
-        let walked = count(director, |session| {
+        let scanned = count(director, |session| {
             session.server() == server && !session.is_playing()
         });
-        assert_eq!(director.count_not_playing_at(server), walked);
+        assert_eq!(director.count_not_playing_at(server), scanned);
         let held = count(director, |session| session.server() == server);
         assert_eq!(director.has_sessions_at(server), held > 0);
     }
@@ -147,7 +147,7 @@
         director.count_playing(),
         count(director, |session| session.is_playing())
     );
-    assert_eq!(director.upgrades(), upgrades_by_walk(director));
+    assert_eq!(director.upgrades(), upgrades_by_scan(director));
 }
 
 fn listed(id: u64, state: EndpointState) -> Endpoint {
@@ -174,7 +174,7 @@
     }
 }
 
-/// A session held, of which an event may tell.
+/// A randomly drawn session for an event.
 struct DrawnSession {
     session: SessionId,
     attempt: u32,
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn running_counts_are_what_plain_walks_find() {
+fn running_counts_match_a_full_scan() {
     let mut upgraded = 0;
     for seed in 1..=8u64 {
         let mut random = RandomNumbers(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
@@ -294,8 +294,5 @@
             upgraded += director.inspect().upgrades().len();
         }
     }
-    assert!(
-        upgraded > 20,
-        "the runs have to bring sessions that may step up: {upgraded}"
-    );
+    assert!(upgraded > 20, "the runs must include upgrades: {upgraded}");
 }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -1,4 +1,4 @@
-//! What viewers seen and expected would ask of the fleet, and the rungs given for it.
+//! The demand of current and expected viewers, and the rungs that are given for it.
 
 mod common;
 
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn a_crowd_that_no_report_shows_yet_lowers_the_rungs_given() {
-    // Hunt at size, h68a016: twice the viewers within a second were set up as if nothing had changed.
+fn a_burst_not_yet_reported_lowers_the_rungs_given() {
+    // Twice as many viewers within a second were set up at unchanged rungs, since no report showed them yet.
     let given = |crowd: u64| {
         let mut settings = Settings {
             director_count: 10,
@@ -82,8 +82,8 @@
 /// Capacity of the only link in [`rungs_from_empty`].
 const LINK_KB_S: f64 = 30_000.0;
 
-/// What viewers that come each second get, the first of them on an empty link that carries 14 top rungs. They
-/// say that they stay for `hint`, and leave after `stay_s` seconds.
+/// The rungs given to one viewer per second, starting with an idle link that can carry 14 sessions at the top rung.
+/// Viewers have the duration hint `hint` and leave after `stay_s` seconds.
 fn rungs_from_empty(hint: TimeDelta, stay_s: u64, is_retry: bool, viewers: u64) -> Vec<usize> {
     let mut settings = settings();
     settings.rack_count = 0;
@@ -122,16 +122,16 @@
 
 #[test]
 fn a_filling_fleet_leaves_capacity_for_expected_arrivals() {
-    // One a second for two minutes each are 120 sessions.
+    // One viewer per second for two minutes each results in 120 concurrent sessions.
     let long = rungs_from_empty(120 * SECOND, 120, false, 40);
-    assert_eq!(long[..3], [4; 3], "a few viewers are no flow");
+    assert_eq!(long[..3], [4; 3], "a few viewers are not extrapolated");
     assert!(long[13..].iter().all(|r| *r < 4), "{long:?}");
-    // The same for five seconds each are five at a time, and all may have the top.
+    // With five seconds each there are only five concurrent sessions, and all may have the top rung.
     assert_eq!(rungs_from_empty(5 * SECOND, 5, false, 40), [4; 40]);
 }
 
 #[test]
-fn returning_viewers_are_no_new_demand() {
+fn returning_viewers_do_not_count_as_new_demand() {
     let tops = |is_retry| {
         rungs_from_empty(120 * SECOND, 120, is_retry, 40)
             .iter()
@@ -147,8 +147,8 @@
 }
 
 #[test]
-fn wrong_duration_hints_are_corrected_by_how_sessions_end() {
-    // They last 10 s and say 100: believed at first, and once some have ended they count for a part of that.
+fn wrong_duration_hints_are_corrected_by_observed_durations() {
+    // Sessions last 10 s with hints of 100 s. The hints are trusted at first, and corrected once sessions have ended.
     let sums = |hint, from: usize| {
         let rungs = rungs_from_empty(hint, 10, false, 120);
         rungs[from..from + 20].iter().sum::<usize>()
@@ -167,11 +167,11 @@
     );
 }
 
-/// Seen on sockets: a director that has restarted is met by the viewers that the next one's restart sends off. Growth
-/// was a ratio to its own earlier sessions then: it had none, took the fleet for hundreds of times as full and gave
-/// all of them the lowest rung.
+/// During a rolling restart, a director that has just restarted gets the viewers of the next one. When growth was
+/// estimated as a ratio to its own earlier sessions, of which it had none, it overestimated the fleet's load hundreds
+/// of times and gave all viewers the lowest rung.
 #[test]
-fn a_crowd_at_a_restarted_director_does_not_fill_the_fleet() {
+fn a_burst_at_a_restarted_director_does_not_overestimate_the_load() {
     let mut settings = settings();
     settings.director_count = 2;
     settings.rules.warm_up = TimeDelta::ZERO;
@@ -187,7 +187,7 @@
         harness.now += 10 * MILLISECOND;
         let server = attempted_server(&harness.request_session(id, IDEMPOTENT)).unwrap();
         harness.start_session(id, 0, server);
-        harness.report_utilization(id, server, 0.2, 0.2); // what both directors' viewers ask
+        harness.report_utilization(id, server, 0.2, 0.2); // The load of both directors' viewers.
     }
     assert!(chosen_rung(&harness.request_session(99, IDEMPOTENT)) >= Some(3));
 }
--- a/tests/freed_capacity.rs
+++ b/tests/freed_capacity.rs
@@ -1,4 +1,4 @@
-//! Playing sessions are downgraded for a request that would be rejected.
+//! Playing sessions are downgraded for a request that would otherwise be rejected.
 
 mod common;
 
@@ -8,7 +8,7 @@
 };
 use shalewall::{Action, Event, Notification, Request, ServerId, TimeDelta};
 
-/// One server, and on it so many sessions at the top rung that fill its link.
+/// A director with one server, whose link is full with this number of sessions at the top rung.
 fn full_of_top_rungs(sessions: u64, hint: TimeDelta) -> DirectorHarness {
     let mut settings = settings();
     settings.rack_count = 0;
@@ -45,16 +45,16 @@
 }
 
 #[test]
-fn a_request_that_would_be_rejected_has_own_top_rungs_downgraded_for_it() {
+fn own_sessions_are_downgraded_for_a_request_that_would_be_rejected() {
     let mut harness = full_of_top_rungs(4, 600 * SECOND);
     let out = request_session(&mut harness, 9, 600 * SECOND);
     assert_eq!(attempted_server(&out), Some(ServerId(1)));
     assert_eq!(
         downgraded(&out, 9).len(),
         1,
-        "one top rung frees more than it needs: {out:?}"
+        "the downgrade of one session suffices: {out:?}"
     );
-    // The downgrades come before the attempt that they free capacity for.
+    // The downgrades precede the attempt for which they free capacity.
     let send = out
         .iter()
         .position(|a| matches!(a, Action::StartAttempt { .. }));
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_short_session_does_not_pay_for_a_downgrade() {
-    // Scene 'peeks': a crowd whose sessions last 5 s must not push everyone down.
+fn a_short_session_does_not_justify_a_downgrade() {
+    // A burst of sessions of 5 s must not downgrade all others (simulated scene 'peeks').
     let mut harness = full_of_top_rungs(4, 600 * SECOND);
     let out = request_session(&mut harness, 9, 3 * SECOND / 2);
     assert!(is_rejected(&out) && downgraded(&out, 9).is_empty());
@@ -82,7 +82,7 @@
         10,
         600 * SECOND
     )));
-    // Time for reports to show what the downgrade has freed; then it may go down again.
+    // After the interval, when reports show the effect of the downgrade, it may be downgraded again.
     harness.advance(5 * SECOND);
     harness.notify(1, ServerId(1), Notification::LinkUtilization(0.94));
     assert_eq!(
@@ -92,11 +92,11 @@
 }
 
 #[test]
-fn no_capacity_is_freed_where_a_shortage_is_reported_or_the_viewer_could_not_be_served_anyway() {
+fn no_capacity_is_freed_at_a_server_with_a_shortage_or_for_a_request_without_a_legal_rung() {
     let mut harness = full_of_top_rungs(4, 600 * SECOND);
     harness.notify(1, ServerId(1), Notification::DeliveredFraction(0.9));
     assert!(is_rejected(&request_session(&mut harness, 9, 600 * SECOND)));
-    // A player that can't show the class's lowest rung.
+    // A player that cannot use the class's lowest rung.
     let mut harness = full_of_top_rungs(4, 600 * SECOND);
     let request = Request {
         highest_rung: 0,
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -11,7 +11,7 @@
     ServerId, SessionId,
 };
 
-/// One server, no retry budget, and a first idempotent attempt there that ended so.
+/// A director with one server and no retry budget, after an idempotent attempt at that server with this outcome.
 fn harness_after(outcome: Outcome) -> (DirectorHarness, ServerId) {
     let mut settings = settings();
     settings.rules.retry_budget = None;
@@ -22,24 +22,24 @@
 }
 
 #[test]
-fn a_failing_server_is_paced_as_warming_up_and_retried_with_idempotent_attempts_only() {
+fn a_failing_server_is_treated_as_warming_up_and_gets_only_idempotent_trials() {
     let (mut harness, server) = harness_after(Outcome::ConnectionFailed);
     assert!(
         is_rejected(&harness.request_session(2, IDEMPOTENT)),
-        "not at once"
+        "the server is ejected"
     );
     harness.now += 2 * SECOND;
     assert!(
         is_rejected(&harness.request_session(3, AT_MOST_ONCE)),
-        "not one that may run only once"
+        "no at-most-once attempt as a trial"
     );
     assert!(
         attempted_server(&harness.request_session(4, IDEMPOTENT)).is_some(),
-        "one trial"
+        "one trial attempt"
     );
     assert!(
         is_rejected(&harness.request_session(5, IDEMPOTENT)),
-        "one at a time"
+        "only one trial at a time"
     );
     harness.start_session(4, 0, server);
     let sent: Vec<u64> = (10..30)
@@ -47,7 +47,7 @@
         .collect();
     assert!(
         sent.len() < 8,
-        "back, but it may be warming up: {sent:?} sent"
+        "it may be warming up after the trial: {sent:?} sent"
     );
     for id in sent {
         harness.finish_attempt(id, 0, server, Outcome::Success);
@@ -57,22 +57,22 @@
 }
 
 #[test]
-fn a_server_that_answers_errors_is_avoided_like_one_that_resets_and_notifications_do_not_clear_it()
-{
-    // Incident id52cfd: errors came at once, so the server looked the emptiest and drew every attempt.
+fn errors_eject_a_server_like_resets_and_notifications_do_not_clear_them() {
+    // A server that fails set-ups at once has the least load, so it attracted every attempt (incident id52cfd).
     let (mut harness, server) = harness_after(Outcome::Error);
     harness.notify(1, server, Notification::LinkUtilization(0.1));
     harness.now += 2 * SECOND;
     assert!(
         is_rejected(&harness.request_session(2, AT_MOST_ONCE)),
-        "no at-most-once attempt before an idempotent one has run"
+        "no at-most-once attempt before an idempotent trial"
     );
     assert!(attempted_server(&harness.request_session(3, IDEMPOTENT)).is_some());
 }
 
 #[test]
 fn a_stalled_director_counts_no_timeout_against_a_server() {
-    // balancer_stall: the batch after a stall holds timeouts that are of this director's making; resets in it count.
+    // The batch after a stall contains timeouts that the director's own stall has caused; connection resets in it
+    // count.
     for (outcome, is_stalled, is_available) in [
         (Outcome::TimedOut, true, true),
         (Outcome::TimedOut, false, false),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn where_health_checks_are_allowed_and_cheap_unreported_holders_are_checked_first() {
+fn cheap_health_checks_are_sent_to_unreported_servers_before_the_attempt() {
     let checked = |out: &[Action]| {
         let checked_server = |a: &Action| match a {
             Action::CheckHealth { server } => Some(*server),
@@ -118,7 +118,7 @@
             (want, want > 0),
             "at {price}"
         );
-        // The answers are in: an attempt is sent, once, and the timer of the health checks finds it sent.
+        // When all checks have finished, one attempt is sent, and the timer of the health checks has no effect.
         for (i, server) in checked(&out).into_iter().enumerate() {
             let load = LoadReport {
                 link_utilization: Some(0.5 - i as f64 / 10.0),
@@ -132,13 +132,13 @@
             assert_eq!(
                 attempted_server(&out).is_some(),
                 i + 1 == want,
-                "decided when all have answered"
+                "decided when all checks have finished"
             );
         }
         harness.now += 60 * MILLISECOND;
         assert!(harness.handle(Event::TimerFired(1)).is_empty());
     }
-    // No answer: the request is decided on what is known. Withdrawn: nothing is sent any more.
+    // Without answers, the request is decided on the existing reports. For a withdrawn one nothing is sent.
     settings.limits.health_check_price = 0.01;
     let mut harness = DirectorHarness::new(settings, 4);
     harness.advance(6 * SECOND);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_health_check_of_a_gone_or_failing_server_is_evidence_only() {
+fn a_health_check_does_not_admit_a_gone_or_failing_server() {
     let mut settings = settings();
     settings.limits.can_check_health = true;
     settings.limits.health_check_price = 0.01;
@@ -159,7 +159,7 @@
     harness.advance(6 * SECOND);
     assert!(
         attempted_server(&harness.request_session(1, AT_MOST_ONCE)).is_none(),
-        "it waits for its health checks"
+        "the request waits for its health checks"
     );
     harness.update_endpoints(
         EndpointUpdate::Delta,
@@ -187,6 +187,6 @@
     });
     assert!(
         is_rejected(&out),
-        "the emptiest is gone, and a failing one takes no at-most-once attempt"
+        "the least loaded server is gone, and a failing one gets no at-most-once attempt"
     );
 }
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -1,4 +1,4 @@
-//! Sessions that migrate while they play: where to, at which rung, and what is held at both servers meanwhile.
+//! Migration of playing sessions: the target, the rung, and what counts at both servers in the meantime.
 
 mod common;
 
@@ -9,14 +9,14 @@
     Action, Endpoint, EndpointState, EndpointUpdate, Event, Outcome, ServerId, SessionId, Settings,
 };
 
-/// A session that plays, and where.
+/// Starts a session and returns its server.
 fn play(harness: &mut DirectorHarness, id: u64, class: usize) -> ServerId {
     let server = attempted_server(&harness.request_session(id, class)).expect("capacity");
     harness.start_session(id, 0, server);
     server
 }
 
-/// Asks for a session to migrate: where to, and at which rung.
+/// Requests a migration and returns its target and rung.
 fn request_migration(harness: &mut DirectorHarness, id: u64) -> Option<(ServerId, usize)> {
     let out = harness.handle(Event::MigrationRequested(SessionId(id)));
     out.iter().find_map(|a| match a {
@@ -36,7 +36,7 @@
     });
 }
 
-/// A director over servers whose links are all that counts.
+/// A director with servers without rack uplinks.
 fn harness(servers: u64) -> DirectorHarness {
     DirectorHarness::new(
         Settings {
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn another_holder_is_found_and_never_the_one_where_it_plays() {
+fn a_migration_targets_another_server() {
     let mut harness = harness(2);
     let from = play(&mut harness, 1, IDEMPOTENT);
     let (to, rung) = request_migration(&mut harness, 1).expect("capacity");
     assert_ne!(to, from);
-    assert_eq!(rung, 4, "the asked rung, on an empty link");
-    // One migration at a time; once it is over the other way is open.
+    assert_eq!(rung, 4, "the preferred rung on an idle link");
+    // Only one migration at a time; after it, the session may migrate back.
     assert_eq!(request_migration(&mut harness, 1), None);
     finish_migration(&mut harness, 1, true);
     assert_eq!(
@@ -83,9 +83,9 @@
     assert_eq!(
         request_migration(&mut harness, 1),
         None,
-        "it has just failed"
+        "the target has just failed"
     );
-    // Nothing is set up by a migration: it tries a failing server as idempotent attempts do, and clears it.
+    // A migration sets up nothing, so it may serve as a trial of a failing server, like an idempotent attempt.
     harness.now += 2 * SECOND;
     harness.handle(Event::ServerSilent(ServerId(3 - other.0)));
     assert_eq!(
@@ -96,11 +96,11 @@
     assert_eq!(
         attempted_server(&harness.request_session(2, AT_MOST_ONCE)),
         Some(other),
-        "it takes at-most-once attempts again"
+        "it gets at-most-once attempts again"
     );
 }
 
-/// The same where every session wants the top rung and nothing less: four to a link.
+/// Like [`harness`], but sessions of the idempotent class require the top rung; four of them fill a link.
 fn harness_of_top_rungs(servers: u64) -> DirectorHarness {
     let mut settings = Settings {
         rack_uplink_kb_s: 0.0,
@@ -110,7 +110,7 @@
     DirectorHarness::new(settings, servers)
 }
 
-/// How many of these viewers play.
+/// Requests sessions and returns how many of them play.
 fn fill(harness: &mut DirectorHarness, ids: std::ops::Range<u64>) -> usize {
     let mut playing = 0;
     for id in ids {
@@ -130,33 +130,33 @@
     assert_eq!(
         fill(&mut harness, 10..100),
         6,
-        "two of eight top rungs are its own"
+        "the migrating session takes two of eight places"
     );
     finish_migration(&mut harness, 1, true);
     assert_eq!(
         fill(&mut harness, 100..200),
         1,
-        "one came free where it played"
+        "the place at the source is released"
     );
     assert_eq!(
         request_migration(&mut harness, 1),
         None,
         "there is no capacity for another migration"
     );
-    // It counts where it plays now: its end there frees that.
+    // The session now counts at the target, and its end releases the place there.
     harness.finish_attempt(1, 0, ServerId(3 - from.0), Outcome::Success);
     assert_eq!(fill(&mut harness, 200..300), 1);
 }
 
 #[test]
-fn a_migration_that_failed_leaves_nothing_behind() {
+fn a_failed_migration_releases_everything_at_its_target() {
     let mut harness = harness(2);
     play(&mut harness, 1, AT_MOST_ONCE);
     for _ in 0..50 {
         request_migration(&mut harness, 1).expect("capacity each time");
         finish_migration(&mut harness, 1, false);
     }
-    // Three seats of a title in the at-most-once class. The session has one of them, whatever was tried.
+    // The title's limit is three sessions. After the failed migrations this session counts once.
     assert!(attempted_server(&harness.request_session(2, AT_MOST_ONCE)).is_some());
     assert!(attempted_server(&harness.request_session(3, AT_MOST_ONCE)).is_some());
     assert_eq!(
@@ -166,14 +166,14 @@
 }
 
 #[test]
-fn a_sessions_own_seat_is_no_hindrance_and_no_seat_is_given_while_it_may_be_at_both() {
+fn a_migrating_session_counts_twice_towards_its_titles_limit_but_does_not_block_itself() {
     let mut harness = harness(2);
     for id in 1..=3 {
         play(&mut harness, id, AT_MOST_ONCE);
     }
     assert!(
         request_migration(&mut harness, 1).is_some(),
-        "all seats are taken, one of them by itself"
+        "the title's limit is reached, but the session itself is part of it"
     );
     finish_migration(&mut harness, 1, true);
     harness.finish_attempt(2, 0, ServerId(1), Outcome::Success);
@@ -181,7 +181,7 @@
     assert_eq!(
         attempted_server(&harness.request_session(9, AT_MOST_ONCE)),
         None,
-        "may be at both"
+        "the migrating session may be at both servers"
     );
     finish_migration(&mut harness, 3, true);
     assert!(attempted_server(&harness.request_session(10, AT_MOST_ONCE)).is_some());
@@ -197,11 +197,11 @@
     let playing = (2..10)
         .filter(|id| attempted_server(&harness.request_session(*id, AT_MOST_ONCE)).is_some())
         .count();
-    assert_eq!(playing, 3, "all seats");
+    assert_eq!(playing, 3, "the title's whole limit is available");
 }
 
 #[test]
-fn migrations_keep_a_warming_servers_pace() {
+fn migrations_respect_the_warm_up_limit() {
     let mut harness = harness(2);
     let ids: Vec<u64> = (1..=8).collect();
     harness.update_endpoints(
@@ -213,7 +213,7 @@
     );
     ids.iter()
         .for_each(|id| assert_eq!(play(&mut harness, *id, IDEMPOTENT), ServerId(1)));
-    // The other restarts: 30 streams over 12 s at 0.4, twice that, half of it used: 2 in 2 s.
+    // The other server restarts. Its overload rate is 30 streams / 12 s * 0.4 * 2; half of it is used: 2 in 2 s.
     harness.now += SECOND;
     harness.update_endpoints(
         EndpointUpdate::Delta,
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Tenants: quotas of the fleet, fleets of their own, terms that change while sessions play.
+//! Tenants: quotas of the fleet, dedicated fleets, and settings that change while sessions play.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const LOUD: usize = 0;
 const QUIET: usize = 1;
 
-/// Two tenants with these quotas; every server is warm and its link's capacity is known.
+/// A director with two tenants with these quotas; all servers have warmed up and their link capacity is known.
 fn shared_fleet(quotas: [f64; 2]) -> DirectorHarness {
     let mut settings = settings();
     settings.rack_uplink_kb_s = 0.0;
@@ -26,7 +26,7 @@
     DirectorHarness::new(settings, 4)
 }
 
-/// One viewer of a tenant asks; where it was sent, and at which rung.
+/// Requests a session for a tenant's viewer; returns its server and rung, if it is admitted.
 fn request_session(
     harness: &mut DirectorHarness,
     id: u64,
@@ -48,11 +48,11 @@
         _ => None,
     })?;
     harness.start_session(id, 0, sent);
-    // What is asked of each link is what this director asks: it hears so with the set-up.
+    // There is only this director, so its own sessions are the whole load of each link.
     Some((sent, rung.expect("a rung before the set-up")))
 }
 
-/// Viewers of a tenant come one after the other until one is rejected; those that play.
+/// Requests sessions for a tenant until one is rejected; returns those that play, with their servers.
 fn fill(
     harness: &mut DirectorHarness,
     ids: std::ops::Range<u64>,
@@ -70,18 +70,18 @@
 }
 
 #[test]
-fn a_returning_tenant_finds_capacity_at_once_and_then_all_that_ends() {
+fn a_tenant_within_its_quota_finds_capacity_at_once_and_gets_all_that_is_released() {
     let mut harness = shared_fleet([0.5, 0.5]);
     let loud = fill(&mut harness, 0..1000, LOUD);
     assert!(
         loud.len() > 150,
-        "it may have all that nobody else wants: {}",
+        "it may use all capacity that nobody else needs: {}",
         loud.len()
     );
-    // There is capacity before anything of the other has ended.
+    // There is capacity before any of the other tenant's sessions have ended.
     let quiet = fill(&mut harness, 1000..2000, QUIET);
     assert!((2..20).contains(&quiet.len()), "{}", quiet.len());
-    // Both ask for all that comes free. The one in debt gets none of it until the other has its quota.
+    // Both request all capacity that is released. The one with quota debt gets none until the other has its quota.
     let mut next = 2000;
     let mut got = [0, 0];
     for (id, server) in &loud[..60] {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn both_tenants_come_to_their_quotas_whoever_was_first() {
+fn both_tenants_converge_to_their_quotas_regardless_of_order() {
     for quotas in [[0.5, 0.5], [0.8, 0.2], [0.2, 0.8]] {
         let mut harness = shared_fleet(quotas);
         let mut playing: std::collections::VecDeque<(u64, ServerId, usize)> =
@@ -106,7 +106,7 @@
                 .map(|(id, s)| (id, s, LOUD))
                 .collect();
         let mut next = 1000;
-        // Sessions end in the order in which they came; both want more than there is.
+        // Sessions end in order of their start; the demand of both exceeds the capacity.
         for _ in 0..1500 {
             harness.now += 100 * MILLISECOND;
             let Some((id, server, _)) = playing.pop_front() else {
@@ -131,9 +131,9 @@
 }
 
 #[test]
-fn a_tenant_of_less_debt_is_not_downgraded_for_one_of_more() {
+fn a_tenant_with_less_debt_is_not_downgraded_for_one_with_more() {
     let mut harness = shared_fleet([0.5, 0.5]);
-    // The quiet one's sessions play at the top on a fleet that is otherwise full of the loud one's.
+    // The quiet tenant's sessions play at the top rung; the loud tenant's sessions fill the rest of the fleet.
     let quiet: Vec<u64> = fill(&mut harness, 0..4, QUIET)
         .into_iter()
         .map(|(id, _)| id)
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn without_quotas_tenants_change_nothing() {
+fn tenants_without_quotas_have_no_effect() {
     let mut with = shared_fleet([0.0, 0.0]);
     let mut without = shared_fleet([0.0, 0.0]);
     for id in 0..300 {
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_request_goes_to_its_own_fleet_alone() {
+fn a_request_is_sent_only_to_servers_of_its_fleet() {
     let mut harness = DirectorHarness::new(settings(), 4);
     let own = |id| Endpoint {
         fleet: u32::from(id >= 3),
@@ -207,7 +207,7 @@
         });
         assert_eq!(sent.expect("there is capacity") >= 3, fleet == 1, "{id}");
     }
-    // Nothing of its own that is up: rejected, never sent to the others'.
+    // With no available server in its fleet, the request is rejected and not sent to another fleet.
     let gone = |id| Endpoint {
         fleet: 1,
         state: EndpointState::Draining,
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn new_lowest_rungs_hold_from_then_on_and_playing_sessions_keep_theirs() {
+fn new_class_settings_apply_to_new_requests_only() {
     let mut harness = DirectorHarness::new(settings(), 4);
     let sent = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
@@ -234,7 +234,7 @@
         })
     };
     let server = sent(&harness.request_session(1, AT_MOST_ONCE)).expect("there is capacity");
-    // The same class on new terms has an index of its own; an attempt that is out stays what it was.
+    // The class with new settings has a new index; an attempt in flight keeps its old settings.
     let mut classes = settings().classes;
     classes.push(ClassSettings {
         idempotency: Idempotency::Idempotent,
@@ -251,14 +251,14 @@
         [Action::Fail {
             session: SessionId(1)
         }],
-        "at most once, and may have run"
+        "an at-most-once set-up that may have run"
     );
     let actions = harness.request_session(2, 2);
     assert!(sent(&actions).is_some());
     for a in actions {
         assert!(!matches!(a, Action::SetRung { rung: 0..3, .. }), "{a:?}");
     }
-    // Seats are of the title, whatever the index of its class: two more, and no third.
+    // The session limit applies to the title, whatever the index of its class: two more sessions, and no third.
     assert!(sent(&harness.request_session(3, AT_MOST_ONCE)).is_some());
     assert!(sent(&harness.request_session(4, 2)).is_some());
     assert!(
@@ -267,7 +267,8 @@
     );
 }
 
-/// Capacity for a migration is the same as for a new session: a tenant in debt finds none where another does.
+/// A migration has the same utilization limits as a new session: a tenant with quota debt may find no capacity where
+/// another one does.
 #[test]
 fn a_migration_finds_capacity_within_its_tenants_quota_only() {
     let mut harness = shared_fleet([0.5, 0.5]);
@@ -288,7 +289,7 @@
     };
     assert!(
         !migrates(&mut harness, loud.last().unwrap().0),
-        "what came free is for the tenant of less debt"
+        "the released capacity is reserved for the tenant with less debt"
     );
     assert!(migrates(&mut harness, quiet[0].0));
 }
--- a/tests/random_events/auditor.rs
+++ b/tests/random_events/auditor.rs
@@ -1,20 +1,20 @@
-//! Checks every action of a director against the six rules, from what the events told.
+//! Checks every action of a director against the rules, based on the events.
 
 use crate::common::MILLISECOND;
 use shalewall::{Action, Idempotency, ServerId, SessionId, Settings, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Answers may come so long after the deadline: batches are apart.
+/// Tolerated delay of an answer after the deadline, since events come in batches.
 const DEADLINE_TOLERANCE: TimeDelta = TimeDelta::from_millis(40);
 
-/// What is known of a request or session.
+/// The state of a request or session, as the events show it.
 #[derive(Default)]
 pub struct SeenSession {
     pub class: usize,
     pub requested_at: Timestamp,
     pub deadline: Timestamp,
     pub attempts: u32,
-    /// Server of the attempt that is out, or where it plays.
+    /// Server of the attempt in flight or of the playing session.
     pub server: Option<ServerId>,
     pub is_playing: bool,
     pub may_have_run: bool,
@@ -34,16 +34,16 @@
     pub token: u64,
 }
 
-/// What the run has shown so far.
+/// The state of the run, against which actions are checked.
 pub struct Auditor {
     pub now: Timestamp,
     pub settings: Settings,
     pub sessions: BTreeMap<u64, SeenSession>,
     /// Servers that are listed as draining or gone.
     pub closed_servers: BTreeSet<u64>,
-    /// When servers last started.
+    /// Time of each server's last start.
     pub started: BTreeMap<u64, Timestamp>,
-    /// Attempts sent to servers that warm up.
+    /// Times of attempts at each warming server.
     pub warm_up_attempts: BTreeMap<u64, Vec<Timestamp>>,
     pub requests: Vec<Timestamp>,
     pub retries: Vec<Timestamp>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Checks what a director does at one event, and that no request is forgotten.
+    /// Checks the actions that follow one event, and that no request is left without an answer.
     pub fn check(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
@@ -93,22 +93,22 @@
     fn check_rung(&self, session: SessionId, rung: usize) {
         let seen = &self.sessions[&session.0];
         let lowest = self.settings.classes[seen.class].lowest_rung;
-        assert!(rung >= lowest, "under the lowest rung");
+        assert!(rung >= lowest, "a rung below the lowest one");
     }
 
     fn check_attempt(&mut self, session: SessionId, server: ServerId) {
         let seen = self.sessions.get_mut(&session.0).unwrap();
         assert!(seen.awaits_answer(), "an attempt after the final answer");
-        assert!(seen.server.is_none(), "two attempts out");
+        assert!(seen.server.is_none(), "two attempts in flight");
         let class = seen.class;
         let is_idempotent = self.settings.classes[class].idempotency == Idempotency::Idempotent;
         assert!(
             is_idempotent || !seen.may_have_run,
-            "an at-most-once set-up twice"
+            "an at-most-once set-up is repeated"
         );
         assert!(
             !self.closed_servers.contains(&server.0),
-            "an attempt at a draining server"
+            "an attempt at a draining or gone server"
         );
         seen.server = Some(server);
         seen.attempts += 1;
@@ -118,7 +118,7 @@
             self.check_retry_budget();
         }
         self.check_warm_up(server);
-        self.check_seats(class);
+        self.check_session_limit(class);
     }
 
     fn check_retry_budget(&mut self) {
@@ -128,7 +128,7 @@
         let retries = self.retries.iter().filter(|at| **at >= window_start);
         let requests = self.requests.iter().filter(|at| **at > window_start);
         let allowed = budget.base + budget.per_request * requests.count() as f64;
-        assert!(retries.count() as f64 <= allowed, "retry budget");
+        assert!(retries.count() as f64 <= allowed, "retry budget exceeded");
     }
 
     fn check_warm_up(&mut self, server: ServerId) {
@@ -142,31 +142,34 @@
         let window_start = self.now - rules.overload_window;
         let recent = attempts.iter().filter(|at| **at > window_start).count() as f64;
         let capacity = self.settings.stream_capacity_by_kind[0];
-        // What all directors may send, and as much again for chance.
+        // The rate for all directors, doubled to allow for chance.
         let pace_per_us = rules.overload_factor * rules.initial_capacity * capacity
             / rules.warm_up.as_micros() as f64;
-        let most = 2.0 * pace_per_us * rules.overload_window.as_micros() as f64;
+        let max_attempts = 2.0 * pace_per_us * rules.overload_window.as_micros() as f64;
         assert!(
-            recent <= most.max(1.0),
-            "warming server overloaded: {recent} of {most}"
+            recent <= max_attempts.max(1.0),
+            "warming server overloaded: {recent} attempts, {max_attempts} allowed"
         );
     }
 
-    fn check_seats(&self, class: usize) {
-        let seats = self.settings.classes[class].session_limit_per_title;
+    fn check_session_limit(&self, class: usize) {
+        let session_limit = self.settings.classes[class].session_limit_per_title;
         let is_held = |seen: &&SeenSession| seen.class == class && seen.server.is_some();
         let held = self.sessions.values().filter(is_held).count() as u32;
-        assert!(seats == 0 || held <= seats, "seats");
+        assert!(
+            session_limit == 0 || held <= session_limit,
+            "session limit of the title exceeded"
+        );
     }
 
     fn check_answer(&mut self, session: SessionId, is_rejection: bool) {
         let seen = self.sessions.get_mut(&session.0).unwrap();
-        assert!(seen.awaits_answer(), "two answers");
+        assert!(seen.awaits_answer(), "two final answers");
         let class = &self.settings.classes[seen.class];
         if is_rejection && class.idempotency == Idempotency::AtMostOnce {
             assert!(
                 !seen.may_have_run && seen.server.is_none(),
-                "a rejection of what may have run"
+                "a rejected set-up that may have run"
             );
         }
         assert!(
@@ -180,21 +183,24 @@
         for seen in self.sessions.values().filter(|seen| seen.awaits_answer()) {
             assert!(
                 self.now <= seen.deadline + DEADLINE_TOLERANCE,
-                "a request forgotten: received at {:?}",
+                "a request without an answer: received at {:?}",
                 seen.requested_at
             );
-            assert!(seen.server.is_some(), "a request held without an attempt");
+            assert!(
+                seen.server.is_some(),
+                "a pending request without an attempt"
+            );
         }
     }
 
-    /// Takes out the first timer that is due by then.
+    /// Removes and returns the first timer that is due by `until`.
     pub fn next_timer(&mut self, until: Timestamp) -> Option<PendingTimer> {
         self.timers.sort_unstable();
         let is_due = self.timers.first().is_some_and(|timer| timer.due <= until);
         is_due.then(|| self.timers.remove(0))
     }
 
-    /// A moment after the last event.
+    /// The time `millis` milliseconds after the last event.
     pub fn moment_after(&self, millis: i64) -> Timestamp {
         self.now + millis * MILLISECOND
     }
--- a/tests/random_events/main.rs
+++ b/tests/random_events/main.rs
@@ -1,4 +1,4 @@
-//! A fixed-seed run of random legal events under an auditor of the six rules.
+//! Runs random legal events with fixed seeds and checks the director's actions against its rules.
 
 mod auditor;
 #[path = "../common/mod.rs"]
@@ -17,14 +17,14 @@
 const SERVERS: u64 = 4;
 const EVENTS_PER_RUN: u64 = 4000;
 
-/// A director, its auditor, and what draws its events.
+/// A director, its auditor, and the generator of its events.
 struct Run {
     auditor: Auditor,
     harness: DirectorHarness,
     random: RandomNumbers,
 }
 
-/// How an attempt ended, and whether it may have run.
+/// The outcome of an attempt, and whether the set-up may have run.
 struct DrawnOutcome {
     outcome: Outcome,
     may_have_run: bool,
@@ -71,7 +71,7 @@
         actions
     }
 
-    /// Time passes. Timers fire when they are due, in order, as the wire would bring them.
+    /// Advances the time and fires timers when they are due, in order.
     fn advance(&mut self) {
         let millis = self.random.below(120) as i64 + 1;
         let next = self.auditor.moment_after(millis);
@@ -110,19 +110,19 @@
         self.handle(Event::RequestReceived(request));
     }
 
-    /// Some attempt is answered, or some session ends.
+    /// An attempt is answered, or a session ends.
     fn answer_attempt(&mut self) {
-        // Every seventh attempt hears nothing before the viewer's time is up.
-        let is_heard = |id: u64, seen: &SeenSession| {
+        // Every seventh attempt gets no answer before the viewer's deadline.
+        let gets_answer = |id: u64, seen: &SeenSession| {
             seen.server.is_some() && (!id.is_multiple_of(7) || seen.is_answered)
         };
         let sessions = self.auditor.sessions.iter();
-        let heard = sessions.filter(|(id, seen)| is_heard(**id, seen));
-        let heard: Vec<u64> = heard.map(|(id, _)| *id).collect();
-        if heard.is_empty() {
+        let answerable = sessions.filter(|(id, seen)| gets_answer(**id, seen));
+        let answerable: Vec<u64> = answerable.map(|(id, _)| *id).collect();
+        if answerable.is_empty() {
             return;
         }
-        let id = heard[self.random.below(heard.len() as u64) as usize];
+        let id = answerable[self.random.below(answerable.len() as u64) as usize];
         let seen = self.auditor.sessions.get_mut(&id).unwrap();
         let is_closed = seen.is_playing || seen.is_answered;
         if !is_closed && self.random.below(3) > 0 {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// A server drains, goes, comes back or restarts.
+    /// A server starts draining, disappears, returns or restarts.
     fn change_server(&mut self) {
         let id = self.random.below(SERVERS) + 1;
         let state = match self.random.below(6) {
@@ -203,7 +203,7 @@
         });
     }
 
-    /// A server notifies of a session that plays, or of none.
+    /// A server sends a notification about a random session, if that plays.
     fn notify(&mut self, newest_id: u64) {
         let notification = match self.random.below(3) {
             0 => {
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn random_legal_events_break_no_rule() {
+fn random_legal_events_violate_no_rule() {
     for seed in 1..=12 {
         let mut run = Run::new(seed * 0x9e37_79b9);
         for id in 0..EVENTS_PER_RUN {
@@ -234,7 +234,7 @@
         let attempts = run.auditor.attempts;
         assert!(
             attempts > 100,
-            "the run has to exercise the director: {attempts} attempts"
+            "the run must exercise the director: {attempts} attempts"
         );
     }
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Attempts, retries and final answers: each test fails when its guard is taken out.
+//! Attempts, retries and final answers. Each test covers one rule and fails without it.
 
 mod common;
 
@@ -82,7 +82,7 @@
             (is_failed(&out), is_rejected(&out)),
             (is_at_most_once, !is_at_most_once)
         );
-        // The late outcome, a second timer and a late start find it answered.
+        // A late outcome, a second timer and a late start have no effect on an answered request.
         assert!(harness.handle(Event::TimerFired(9)).is_empty());
         assert!(harness.start_session(9, 0, server).is_empty());
         assert!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn no_attempt_goes_to_a_draining_server_from_that_event_on() {
+fn no_attempt_is_sent_to_a_draining_or_gone_server() {
     for state in [EndpointState::Draining, EndpointState::Gone] {
         let mut harness = DirectorHarness::new(settings(), 1);
         assert!(attempted_server(&harness.request_session(1, IDEMPOTENT)).is_some());
@@ -107,25 +107,25 @@
         );
         assert!(is_rejected(&harness.request_session(2, IDEMPOTENT)));
     }
-    // A full list without it says the same.
+    // A full list without the server has the same effect.
     let mut harness = DirectorHarness::new(settings(), 1);
     harness.update_endpoints(EndpointUpdate::Full, vec![]);
     assert!(is_rejected(&harness.request_session(1, IDEMPOTENT)));
 }
 
 #[test]
-fn title_seats_are_held_from_the_attempt_until_its_outcome() {
+fn a_titles_session_limit_counts_attempts_until_their_outcome() {
     let mut harness = DirectorHarness::new(settings(), 4);
     let servers: Vec<_> = (1..=3)
         .map(|id| attempted_server(&harness.request_session(id, AT_MOST_ONCE)).unwrap())
         .collect();
     assert!(is_rejected(&harness.request_session(4, AT_MOST_ONCE)));
-    // Withdrawn is not enough: the attempt is still out.
+    // A withdrawn request still counts while its attempt is in flight.
     harness.handle(Event::RequestWithdrawn(SessionId(1)));
     assert!(is_rejected(&harness.request_session(5, AT_MOST_ONCE)));
     harness.finish_attempt(1, 0, servers[0], Outcome::Cancelled);
     assert!(attempted_server(&harness.request_session(6, AT_MOST_ONCE)).is_some());
-    // A transferred session takes a seat too.
+    // A transferred session counts as well.
     let mut harness = DirectorHarness::new(settings(), 4);
     for id in 1..=3 {
         harness.transfer(id, AT_MOST_ONCE, ServerId(1));
@@ -139,7 +139,7 @@
     harness.notify(99, ServerId(1), Notification::LinkUtilization(0.90));
     assert!(
         is_rejected(&harness.request_session(1, AT_MOST_ONCE)),
-        "rung 0 would fit, the lowest rung of the class does not"
+        "rung 0 would fit, but the lowest rung of the class does not"
     );
     assert_eq!(
         chosen_rung(&harness.request_session(2, IDEMPOTENT)),
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn retries_stay_within_the_budget_with_strict_edges() {
+fn retries_stay_within_the_budget_at_the_exact_window_edges() {
     let mut harness = DirectorHarness::new(settings(), 4);
     let retry = |harness: &mut DirectorHarness, id| {
         let server = attempted_server(&harness.request_session(id, IDEMPOTENT)).unwrap();
@@ -174,14 +174,14 @@
     assert!(retry(&mut harness, 1).is_some());
     assert!(retry(&mut harness, 2).is_some());
     assert!(retry(&mut harness, 3).is_none());
-    harness.now += 10 * SECOND; // exactly the window: the old ones still count
+    harness.now += 10 * SECOND; // Exactly the window: earlier retries still count.
     assert!(retry(&mut harness, 4).is_none());
     harness.now += TimeDelta::from_micros(1);
     assert!(retry(&mut harness, 5).is_some());
 }
 
 #[test]
-fn rejections_carry_retry_after_within_what_viewers_honour() {
+fn rejections_carry_retry_after_within_the_maximum() {
     let mut harness = DirectorHarness::new(settings(), 0);
     let out = harness.request_session(1, AT_MOST_ONCE);
     let advice = out.iter().find_map(|a| match a {
@@ -224,7 +224,7 @@
         !harness
             .update_endpoints(EndpointUpdate::Failed, vec![])
             .contains(&Action::WatchEndpoints(true)),
-        "not at once"
+        "no immediate retry"
     );
     harness.now += 3 * SECOND;
     assert!(harness.fire_tick().contains(&Action::WatchEndpoints(true)));
@@ -233,7 +233,7 @@
     assert!(!harness.fire_tick().contains(&Action::WatchEndpoints(true)));
 }
 
-/// Seen on sockets: bad clients ask for titles that no node knows. Each such request took four nodes out of use.
+/// Clients may request titles that no node knows. Without this rule, each such request ejected four nodes.
 #[test]
 fn a_request_that_two_servers_answer_with_an_error_is_not_retried() {
     let mut harness = DirectorHarness::new(settings(), 4);
@@ -246,10 +246,10 @@
         second,
         Outcome::Error
     )));
-    // The error counts against the first only, and neither counts as one that may have restarted.
+    // Only the first server's error counts as a failure, and neither server has to warm up afterwards.
     harness.now += 1500 * MILLISECOND;
     let sent: std::collections::BTreeSet<_> = (10..60)
         .filter_map(|id| attempted_server(&harness.request_session(id, IDEMPOTENT)))
         .collect();
-    assert_eq!(sent.len(), 4, "all are in use again: {sent:?}");
+    assert_eq!(sent.len(), 4, "all servers are used again: {sent:?}");
 }
--- a/tests/rung_changes.rs
+++ b/tests/rung_changes.rs
@@ -1,4 +1,4 @@
-//! When playing sessions are downgraded for a shortage, and when they are upgraded.
+//! Downgrades of playing sessions for a shortage, and upgrades.
 
 mod common;
 
@@ -11,7 +11,7 @@
     Timestamp,
 };
 
-/// One server, and a session that plays there: the director, the server and the rung.
+/// A director with one server and a playing session; returns the director, the server and the session's rung.
 fn playing_session(settings: Settings) -> (DirectorHarness, ServerId, usize) {
     let mut harness = DirectorHarness::new(settings, 1);
     let out = harness.request_session(1, IDEMPOTENT);
@@ -22,7 +22,7 @@
     (harness, server, at)
 }
 
-/// One server, and on it a session that was transferred at this rung.
+/// A director with one server and a session that was transferred at this rung.
 fn transferred_session(settings: Settings, class: usize, at: usize) -> (DirectorHarness, ServerId) {
     let mut harness = DirectorHarness {
         director: Director::new(1, settings, Timestamp::ZERO + 60 * SECOND),
@@ -35,7 +35,7 @@
     (harness, server)
 }
 
-/// A server reports each second that it delivers short.
+/// Reports a shortage once per second and returns all actions.
 fn report_shortage(
     harness: &mut DirectorHarness,
     server: ServerId,
@@ -52,7 +52,8 @@
 
 #[test]
 fn a_shortage_changes_no_rung_before_it_has_cost_as_much_as_a_change() {
-    // At 0.6 points for a point, 0.6 costs 0.23 s of utility a report; a change of rung costs 0.5 s.
+    // With a stall penalty of 0.6, a delivered fraction of 0.6 costs 0.23 s of utility per report. A change of rung
+    // costs 0.5 s.
     let cheap_stalls = Settings {
         stall_penalty: 0.6,
         ..settings()
@@ -63,7 +64,7 @@
         None
     );
     assert!(chosen_rung(&report_shortage(&mut harness, server, 0.6, 1)).is_some());
-    // Cleared in between, it begins anew; where the price of a shortage is unknown, nothing changes.
+    // Full delivery resets the accumulated cost. If the cost of a shortage is unknown, there are no downgrades.
     let (mut harness, server, _) = playing_session(cheap_stalls);
     for _ in 0..5 {
         assert_eq!(
@@ -97,13 +98,13 @@
     assert_eq!((downgrades, chosen_rung(&out)), (1, Some(at - 1)));
     assert!(
         chosen_rung(&report_shortage(&mut harness, server, 0.6, 2)).is_some(),
-        "it lasts: once more"
+        "a second downgrade, since the shortage lasts"
     );
 }
 
 #[test]
-fn many_directors_with_one_session_each_free_together_what_is_missing_not_several_times_as_much() {
-    // slniecko-parents-later big-1: each downgraded its one session, and uplinks went from 123% to 60%.
+fn many_directors_with_one_session_each_free_no_more_than_needed() {
+    // When each director downgraded its one session, uplink utilization dropped from 123% to 60%.
     let downgraded = |delivered: f64| {
         let is_downgraded = |seed: &u64| {
             let mut harness = DirectorHarness {
@@ -117,7 +118,8 @@
         };
         (0..200).filter(is_downgraded).count()
     };
-    // From 700 to 400 kB/s frees 43%; 0.9 misses 7%, and twice that is freed: a third of the sessions.
+    // Downgrading from 700 to 400 kB/s frees 43% of the rate. A delivered fraction of 0.9 misses 7%, twice of which is
+    // freed: a third of the sessions.
     assert!((40..100).contains(&downgraded(0.9)), "{}", downgraded(0.9));
     assert_eq!(downgraded(0.5), 200);
 }
@@ -142,7 +144,7 @@
 }
 
 #[test]
-fn no_downgrade_goes_under_the_lowest_rung() {
+fn no_downgrade_goes_below_the_lowest_rung() {
     let (mut harness, server) = transferred_session(settings(), AT_MOST_ONCE, 1);
     assert_eq!(
         chosen_rung(&report_shortage(&mut harness, server, 0.3, 20)),
@@ -152,21 +154,22 @@
 
 #[test]
 fn a_transferred_session_is_reconsidered_once_reports_are_in() {
-    // Days began with all transferred sessions at the lowest rung on links a third full, and stayed so.
+    // Transferred sessions stayed at the lowest rung although their links were only a third full.
     let (mut harness, server) = transferred_session(settings(), IDEMPOTENT, 0);
     assert_eq!(
         chosen_rung(&harness.fire_tick()),
         None,
-        "nothing is known yet"
+        "there are no reports yet"
     );
     harness.report_utilization(1, server, 0.02, 0.01);
     assert_eq!(chosen_rung(&harness.fire_tick()), Some(4));
-    assert_eq!(chosen_rung(&harness.fire_tick()), None, "once");
+    assert_eq!(chosen_rung(&harness.fire_tick()), None, "only once");
 }
 
 #[test]
 fn a_transferred_session_is_upgraded_only_as_far_as_all_others_there_can_be() {
-    // Incident ie84c1c: all directors saw links a third full of lowest rungs and filled them at once.
+    // All directors saw links a third full with sessions at the lowest rung, and upgraded at the same time until the
+    // links were overloaded (incident ie84c1c).
     let (mut harness, server) = transferred_session(settings(), IDEMPOTENT, 0);
     harness.report_utilization(1, server, 0.3, 0.15);
     assert!(chosen_rung(&harness.fire_tick()).is_some_and(|r| (1..4).contains(&r)));
@@ -197,8 +200,8 @@
 }
 
 #[test]
-fn a_sessions_rung_is_kept_on_a_full_link_and_upgraded_when_that_has_emptied() {
-    // Scene 'falls': sessions begun in a crowd kept its rung to their end, a minute after it was gone.
+fn a_sessions_rung_is_kept_on_a_full_link_and_upgraded_after_its_load_drops() {
+    // Sessions started in a burst kept their low rung for a minute after the burst (simulated scene 'falls').
     let mut harness = DirectorHarness::new(settings(), 1);
     let server = ServerId(1);
     harness.notify(99, server, Notification::LinkUtilization(0.88));
@@ -216,10 +219,10 @@
     assert!(chosen_rung(&harness.fire_tick()).is_some_and(|r| r > at));
 }
 
-/// Seen on sockets: the transfer of sessions that played before the start comes some milliseconds after it. Taken for
-/// sessions set up since, they looked like a crowd, and the first 3 s of a director got the lowest rung.
+/// Sessions that played before a director's start are transferred some milliseconds after it. If they counted as new
+/// sessions, they would look like a burst, and requests in the first 3 s would get the lowest rung.
 #[test]
-fn sessions_transferred_late_are_no_crowd() {
+fn sessions_transferred_late_do_not_count_as_a_burst() {
     let rung_after = |late: TimeDelta| {
         let mut settings = settings();
         settings.rules.warm_up = TimeDelta::ZERO;
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started, or may have, are paced.
+//! Limits on attempts to servers that have just started, or may have.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use shalewall::{Director, Endpoint, EndpointUpdate, Event, Request, Settings, Timestamp};
 
 #[test]
-fn a_server_that_has_just_started_is_paced() {
+fn attempts_to_a_server_that_has_just_started_are_limited() {
     let mut harness = DirectorHarness::new(settings(), 0);
     let now = harness.now;
     harness.update_endpoints(
@@ -24,11 +24,11 @@
         sent += u32::from(attempted_server(&harness.request_session(id, IDEMPOTENT)).is_some());
         harness.now += 50 * MILLISECOND;
     }
-    // 2 x 30 streams over 12 s at 0.4 is 4 in two seconds.
+    // The overload rate is 2 * 30 streams * 0.4 / 12 s: 4 in two seconds.
     assert!((1..=6).contains(&sent), "{sent} attempts in two seconds");
 }
 
-/// Attempts that so many directors send together when each is asked once, all for titles of one server.
+/// Total number of attempts by this number of directors if each gets one request for a title of the same server.
 fn attempts_of_all(directors: u32, update: impl Fn(&mut DirectorHarness)) -> usize {
     let settings = Settings {
         director_count: directors,
@@ -48,7 +48,8 @@
 
 #[test]
 fn three_hundred_directors_do_not_overload_a_warming_server_with_one_attempt_each() {
-    // preempt, zone loss: the replacement is empty, so all send there, and each one's first was free.
+    // After a preemption or a zone loss, the replacement has no load, so all directors choose it. When each director's
+    // first attempt was exempt from the limit, they overloaded it together.
     let started = |harness: &mut DirectorHarness| {
         harness.now = Timestamp::ZERO + 60 * SECOND;
         harness.update_endpoints(
@@ -59,7 +60,7 @@
             }],
         );
     };
-    // 2 x 30 streams over 12 s at 0.4 is 4 in two seconds.
+    // The overload rate is 2 * 30 streams * 0.4 / 12 s: 4 in two seconds.
     let sent: Vec<usize> = [10, 30, 100, 300]
         .map(|n| attempts_of_all(n, started))
         .into();
@@ -70,8 +71,8 @@
 }
 
 #[test]
-fn a_crowd_for_a_title_that_few_servers_hold_does_not_overload_a_warming_one() {
-    // Found by a hunt: the draw presumed that few ask for a title that 3 of 300 servers hold, and let 2 in 3 through.
+fn a_burst_for_a_title_with_few_servers_does_not_overload_a_warming_one() {
+    // When few requests were assumed for a title that 3 of 300 servers host, two thirds of a burst were admitted.
     let settings = Settings {
         director_count: 300,
         cell_count: 300,
@@ -101,11 +102,11 @@
 }
 
 #[test]
-fn a_starting_director_paces_all_servers_since_its_list_may_hide_a_start() {
+fn a_starting_director_limits_attempts_to_all_servers() {
     let cached = |harness: &mut DirectorHarness| {
         harness.update_endpoints(EndpointUpdate::Cached, vec![endpoint(1)]);
     };
-    // The fleet of 4 cells shares what is asked, so 4 times as many may go to each.
+    // The requests are spread over 4 cells, so 4 times as many may be sent to each server.
     let sent = attempts_of_all(300, cached);
     assert!((4..=20).contains(&sent), "{sent} attempts");
 }
