--- a/crates/settings/src/rule.rs
+++ b/crates/settings/src/rule.rs
@@ -72,7 +72,7 @@
     /// A tenant of a hosted day has no share.
     #[error("each tenant of the site needs a share above 0")]
     HostedTenantWithoutShare,
-    /// The load has a tenant that the site does not have, or one with a rate of 0.
+    /// The load has a tenant that the site does not have, or one whose rate is not positive.
     #[error("has to be a tenant of the site, and its rate above 0")]
     UnknownTenantOrNoRate,
     /// Session lengths are given for a class that the site does not have, or are not a valid range.
--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -13,7 +13,7 @@
     director: &'a Director,
 }
 
-/// One session that a director holds.
+/// One session of a director.
 pub struct SessionRecord<'a> {
     session: &'a ActiveSession,
 }
@@ -58,7 +58,7 @@
         self.session.sent_at
     }
 
-    /// Earliest time at which its rung may be changed again.
+    /// Earliest time at which its rung may be reconsidered.
     pub fn reconsider_at(&self) -> Timestamp {
         self.session.reconsider_at
     }
@@ -93,7 +93,7 @@
         &self.director.settings
     }
 
-    /// All sessions held, by id.
+    /// All sessions, in order of their ids.
     pub fn sessions(&self) -> impl Iterator<Item = SessionRecord<'a>> {
         self.director.sessions.iter().map(|session| SessionRecord { session })
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -14,11 +14,11 @@
 /// Highest utilization of a link at which a session gets its preferred rung. `C0` in the design, with its
 /// default.
 pub(crate) const PREFERRED_RUNG_UTILIZATION_LIMIT: f64 = 0.85;
-/// Highest utilization up to which sessions are set up at any rung, the design's default. The rest absorbs
+/// Highest utilization of a link at which sessions are set up at all, the design's default. The rest absorbs
 /// actual rates that deviate by a few percent from nominal ones.
 pub(crate) const UTILIZATION_LIMIT: f64 = 0.93;
-/// Margin on a link without a report, in standard deviations of the reported links. A session at the lowest
-/// rung needs no margin.
+/// Margin that is added to the mean utilization for a link without a report, in standard deviations over the
+/// reported links. A session at the lowest rung needs no margin.
 const UNREPORTED_MARGIN_DEVIATIONS: f64 = 0.7;
 /// Utilization that is added to a server's load for a zone crossing, per unit of the crossing's price.
 const ZONE_CROSSING_WEIGHT: f64 = 10.0;
@@ -109,8 +109,8 @@
             .or_else(|| self.fits(server, added_kb_s(lowest), utilization_limit, 0.0).then_some(lowest))
     }
 
-    /// Factor on the utilization limit for a rung. If giving the rung to all current viewers would exceed the
-    /// fleet's capacity, the limit is lowered by that excess, as in the design's choice of `C0`.
+    /// Factor on the utilization limit for a rung. If the demand with this rung for all viewers exceeds the
+    /// fleet's capacity, the limit is divided by that ratio, as in the design's choice of `C0`.
     fn demand_scale(&self, request: &Request, rung: usize) -> f64 {
         let demand = self.rung_demand(request.class, request.tenant, rung);
         1.0 / demand.map_or(1.0, |demand| demand.with_rung.max(1.0))
--- a/src/policy/capacity_estimate.rs
+++ b/src/policy/capacity_estimate.rs
@@ -1,5 +1,5 @@
 //! Estimates of the utilization of single links and uplinks and of the whole fleet. A director treats its own
-//! sessions as a sample of the fleet's; with more reports, their weight in the estimate grows.
+//! sessions as a sample of the fleet's. The more reports it has, the less this sample counts.
 
 use crate::director::Director;
 use crate::interface::{Endpoint, Settings};
--- a/src/policy/demand.rs
+++ b/src/policy/demand.rs
@@ -64,10 +64,10 @@
         (expected_s - age.as_secs_f64()).max(0.0)
     }
 
-    /// Expected growth over `held` viewers within [`DEMAND_HORIZON_S`], by class, if arrivals continue at the
-    /// recent rate. By Little's law the number of sessions tends to the arrival rate times their mean
+    /// Expected growth over the current viewers within [`DEMAND_HORIZON_S`], by class, if arrivals continue
+    /// at the recent rate. By Little's law the number of sessions tends to the arrival rate times their mean
     /// duration.
-    fn expected_growth(&mut self, held: f64) -> BTreeMap<usize, f64> {
+    fn expected_growth(&mut self, current_viewers: f64) -> BTreeMap<usize, f64> {
         let recent_start = self.now - RECENT_ARRIVALS_WINDOW;
         let totals = self.demand.arrivals.totals(self.now - ARRIVALS_WINDOW, recent_start);
         let observed_s = |span| (self.now - self.started_at).min(span).as_secs_f64() + PRESUMED_IDLE_S;
@@ -77,8 +77,8 @@
         let recent_offered_load = totals.recent_seconds / observed_s(RECENT_ARRIVALS_WINDOW);
         let offered_load =
             f64::min(recent_offered_load, totals.seconds / observed_s(ARRIVALS_WINDOW) * confident_fraction);
-        let added =
-            (offered_load - held).max(0.0) * (DEMAND_HORIZON_S * totals.count / totals.seconds).min(1.0);
+        let added = (offered_load - current_viewers).max(0.0)
+            * (DEMAND_HORIZON_S * totals.count / totals.seconds).min(1.0);
         let mut growth = totals.seconds_by_class;
         growth.values_mut().for_each(|wanted| *wanted *= added / totals.seconds);
         growth
@@ -159,8 +159,8 @@
     fn viewers_by_class(&mut self) -> BTreeMap<usize, f64> {
         let current_viewers = self.sessions.len() as f64 + self.demand.rejected.len() as f64;
         let mut viewers = self.expected_growth(current_viewers);
-        for (class, held) in &self.sessions.by_class {
-            *viewers.entry(*class).or_default() += *held as f64;
+        for (class, sessions) in &self.sessions.by_class {
+            *viewers.entry(*class).or_default() += *sessions as f64;
         }
         for viewer in self.demand.rejected.values() {
             *viewers.entry(viewer.class).or_default() += 1.0;
--- a/src/policy/downgrades.rs
+++ b/src/policy/downgrades.rs
@@ -15,13 +15,14 @@
 
 /// Delivered fraction of the rate from which on a server has no shortage.
 const FULL_DELIVERY_FRACTION: f64 = 0.98;
-/// Downgrades for a shortage reduce the rates to this fraction of what the server delivers ...
+/// Delivered fraction that downgrades for a shortage aim at ...
 const DELIVERY_TARGET: f64 = 0.97;
 /// ... and free this multiple of the missing rate, since a shortage costs more than unused capacity.
 const SHORTAGE_DOWNGRADE_FACTOR: f64 = 2.0;
 /// Shortest time between downgrades for a shortage of one server: the effect must show in its reports first.
 const SHORTAGE_DOWNGRADE_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
-/// Shortest time between two changes of a session's rung.
+/// Time after a change of a session's rung during which it is neither upgraded nor downgraded to free
+/// capacity. Downgrades for a shortage do not wait for it.
 pub(crate) const RECONSIDER_INTERVAL: TimeDelta = TimeDelta::from_secs(4);
 
 impl Director {
@@ -119,11 +120,11 @@
     /// loss and the cost of the changes.
     pub(crate) fn free_capacity(&mut self, pending: &PendingRequest) -> bool {
         let Some(need) = self.capacity_need(pending) else { return false };
-        let mut seen_racks = BTreeSet::new();
+        let mut considered_racks = BTreeSet::new();
         let candidates = self.candidates(pending).into_iter();
         let mut healthy =
             candidates.filter(|server| !server.shortage.is_short && !server.health.is_failing());
-        let found = healthy.find_map(|server| self.downgrades_at(server, &need, &mut seen_racks));
+        let found = healthy.find_map(|server| self.downgrades_at(server, &need, &mut considered_racks));
         let is_freed = found.is_some();
         found.into_iter().flatten().for_each(|change| self.change_rung(change.session, change.rung));
         is_freed
@@ -153,7 +154,7 @@
         &self,
         server: &Server,
         need: &CapacityNeed,
-        seen_racks: &mut BTreeSet<u64>,
+        considered_racks: &mut BTreeSet<u64>,
     ) -> Option<Vec<RungChange>> {
         let missing = |estimate: &LinkEstimate, utilization: f64| {
             (utilization + estimate.fraction(need.kb_s) - need.utilization_limit) * estimate.capacity_kb_s
@@ -162,7 +163,7 @@
         let uplink = self.uplink_of(server);
         let uplink_kb_s = uplink.map_or(0.0, |uplink| missing(uplink, self.uplink_utilization(server)));
         let rack = self.settings.rack_of_cell(server.endpoint.cell).filter(|_| link_kb_s <= 0.0);
-        if rack.is_some_and(|rack| !seen_racks.insert(rack)) {
+        if rack.is_some_and(|rack| !considered_racks.insert(rack)) {
             return None; // The sessions of this rack have been considered already.
         }
         let servers = self.servers_sharing(server, rack);
--- a/src/policy/quotas.rs
+++ b/src/policy/quotas.rs
@@ -16,14 +16,14 @@
         let tenant = tenant?;
         let quota = self.settings.fleet_quota(tenant)?;
         let usage = self.sessions.by_tenant.get(&tenant).copied().unwrap_or_default();
-        let held_fraction = usage.rate_kb_s / self.sessions.tenants_rate_kb_s.max(f64::MIN_POSITIVE);
-        Some(QuotaStatus { sessions: usage.sessions as f64, held_fraction, quota })
+        let used_fraction = usage.rate_kb_s / self.sessions.tenants_rate_kb_s.max(f64::MIN_POSITIVE);
+        Some(QuotaStatus { sessions: usage.sessions as f64, used_fraction, quota })
     }
 
     /// Quota debt of a tenant: 0 within its quota; above it from 0.5 to 1, growing with the excess.
     pub(crate) fn quota_debt(&self, tenant: Option<usize>) -> f64 {
-        let status = self.quota_status(tenant).filter(|status| status.held_fraction > status.quota);
-        status.map_or(0.0, |status| (1.0 + status.held_fraction - status.quota) / 2.0)
+        let status = self.quota_status(tenant).filter(|status| status.used_fraction > status.quota);
+        status.map_or(0.0, |status| (1.0 + status.used_fraction - status.quota) / 2.0)
     }
 
     /// Reduction of the utilization limits for a tenant with quota debt. While another tenant here is within
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -32,8 +32,8 @@
         let request = &pending.request;
         let session_limit =
             self.settings.classes.get(request.class).map_or(0, |class| class.session_limit_per_title);
-        let held = self.sessions.by_title.get(&request.title).copied().unwrap_or(0);
-        if session_limit > 0 && held >= session_limit as usize {
+        let title_sessions = self.sessions.by_title.get(&request.title).copied().unwrap_or(0);
+        if session_limit > 0 && title_sessions >= session_limit as usize {
             return false;
         }
         let limits = &self.settings.limits;
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -37,7 +37,7 @@
     /// Number of its sessions at this director.
     pub sessions: f64,
     /// Its fraction of all tenants' rates at this director. It is assumed to be the same at the others.
-    pub held_fraction: f64,
+    pub used_fraction: f64,
     /// Fraction of the fleet that is reserved for it.
     pub quota: f64,
 }
--- a/src/state/sessions.rs
+++ b/src/state/sessions.rs
@@ -59,7 +59,7 @@
     pub rung: usize,
     pub rate_kb_s: f64,
     pub sent_at: Timestamp,
-    /// Earliest time at which its rung may be changed again.
+    /// Earliest time at which its rung may be reconsidered.
     pub reconsider_at: Timestamp,
 }
 
--- a/tests/counts.rs
+++ b/tests/counts.rs
@@ -134,8 +134,8 @@
             session.server() == server && !session.is_playing()
         });
         assert_eq!(director.count_not_playing_at(server), scanned);
-        let held = count(director, |session| session.server() == server);
-        assert_eq!(director.has_sessions_at(server), held > 0);
+        let session_count = count(director, |session| session.server() == server);
+        assert_eq!(director.has_sessions_at(server), session_count > 0);
     }
 }
 
@@ -183,11 +183,11 @@
 }
 
 fn draw_session(random: &mut RandomNumbers, director: &Director) -> Option<DrawnSession> {
-    let held = director.inspect().sessions().count().max(1) as u64;
+    let session_count = director.inspect().sessions().count().max(1) as u64;
     let record = director
         .inspect()
         .sessions()
-        .nth(random.below(held) as usize)?;
+        .nth(random.below(session_count) as usize)?;
     Some(DrawnSession {
         session: record.request().session,
         attempt: record.attempt(),
--- a/tests/random_events/auditor.rs
+++ b/tests/random_events/auditor.rs
@@ -155,9 +155,9 @@
     fn check_session_limit(&self, class: usize) {
         let session_limit = self.settings.classes[class].session_limit_per_title;
         let is_held = |seen: &&SeenSession| seen.class == class && seen.server.is_some();
-        let held = self.sessions.values().filter(is_held).count() as u32;
+        let active_sessions = self.sessions.values().filter(is_held).count() as u32;
         assert!(
-            session_limit == 0 || held <= session_limit,
+            session_limit == 0 || active_sessions <= session_limit,
             "session limit of the title exceeded"
         );
     }
--- a/tests/rung_changes.rs
+++ b/tests/rung_changes.rs
@@ -16,14 +16,18 @@
     let mut harness = DirectorHarness::new(settings, 1);
     let out = harness.request_session(1, IDEMPOTENT);
     let server = attempted_server(&out).unwrap();
-    let at = chosen_rung(&out).unwrap();
+    let rung = chosen_rung(&out).unwrap();
     harness.start_session(1, 0, server);
     harness.report_utilization(1, server, 0.2, 0.1);
-    (harness, server, at)
+    (harness, server, rung)
 }
 
 /// A director with one server and a session that was transferred at this rung.
-fn transferred_session(settings: Settings, class: usize, at: usize) -> (DirectorHarness, ServerId) {
+fn transferred_session(
+    settings: Settings,
+    class: usize,
+    rung: usize,
+) -> (DirectorHarness, ServerId) {
     let mut harness = DirectorHarness {
         director: Director::new(1, settings, Timestamp::ZERO + 60 * SECOND),
         now: Timestamp::ZERO + 60 * SECOND,
@@ -31,7 +35,7 @@
     harness.update_endpoints(EndpointUpdate::Full, vec![endpoint(1)]);
     let server = ServerId(1);
     harness.transfer(1, class, server);
-    harness.notify(1, server, Notification::CurrentRung(at));
+    harness.notify(1, server, Notification::CurrentRung(rung));
     (harness, server)
 }
 
@@ -89,13 +93,13 @@
 
 #[test]
 fn a_lasting_shortage_downgrades_by_one_rung_and_waits_for_the_effect() {
-    let (mut harness, server, at) = playing_session(settings());
+    let (mut harness, server, rung) = playing_session(settings());
     let out = report_shortage(&mut harness, server, 0.6, 2);
     let downgrades = out
         .iter()
         .filter(|a| matches!(a, Action::SetRung { .. }))
         .count();
-    assert_eq!((downgrades, chosen_rung(&out)), (1, Some(at - 1)));
+    assert_eq!((downgrades, chosen_rung(&out)), (1, Some(rung - 1)));
     assert!(
         chosen_rung(&report_shortage(&mut harness, server, 0.6, 2)).is_some(),
         "a second downgrade, since the shortage lasts"
@@ -126,14 +130,14 @@
 
 #[test]
 fn a_downgraded_session_is_reconsidered_after_every_interval() {
-    let (mut harness, server, at) = playing_session(settings());
+    let (mut harness, server, rung) = playing_session(settings());
     for _ in 0..2 {
         assert_eq!(
             chosen_rung(&report_shortage(&mut harness, server, 0.6, 2)),
-            Some(at - 1)
+            Some(rung - 1)
         );
         harness.notify(1, server, Notification::DeliveredFraction(1.0));
-        for (wait, want) in [(2 * SECOND, None), (6 * SECOND, Some(at))] {
+        for (wait, want) in [(2 * SECOND, None), (6 * SECOND, Some(rung))] {
             harness.now += wait;
             harness.report_utilization(1, server, 0.12, 0.06);
             assert_eq!(chosen_rung(&harness.fire_tick()), want);
@@ -205,8 +209,8 @@
     let mut harness = DirectorHarness::new(settings(), 1);
     let server = ServerId(1);
     harness.notify(99, server, Notification::LinkUtilization(0.88));
-    let at = chosen_rung(&harness.request_session(1, IDEMPOTENT)).unwrap();
-    assert!(at < 4);
+    let rung = chosen_rung(&harness.request_session(1, IDEMPOTENT)).unwrap();
+    assert!(rung < 4);
     harness.start_session(1, 0, server);
     for _ in 0..10 {
         harness.now += SECOND;
@@ -216,7 +220,7 @@
     for _ in 0..3 {
         harness.report_utilization(1, server, 0.04, 0.02);
     }
-    assert!(chosen_rung(&harness.fire_tick()).is_some_and(|r| r > at));
+    assert!(chosen_rung(&harness.fire_tick()).is_some_and(|r| r > rung));
 }
 
 /// Sessions that played before a director's start are transferred some milliseconds after it. If they counted as new
