--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -13,7 +13,7 @@
         let all: Vec<_> = (0..size).collect();
         let took = fleet.converge(&all, SECOND * 20);
         assert!(took.is_some(), "{size}: {:?}", fleet.known_counts(&all));
-        assert!(fleet.downs.is_empty(), "{:?}", fleet.downs);
+        assert!(fleet.down_reports.is_empty(), "{:?}", fleet.down_reports);
         // The steady-state traffic of each director does not grow with the fleet.
         fleet.advance(SECOND * 30);
         let before = fleet.sent;
@@ -35,9 +35,9 @@
     let rest: Vec<_> = (0..12).filter(|n| *n != 7).collect();
     assert!(fleet.converge(&rest, SECOND * 60).is_some());
     assert!(
-        fleet.downs.iter().all(|(_, name)| name == "n7"),
+        fleet.down_reports.iter().all(|(_, name)| name == "n7"),
         "{:?}",
-        fleet.downs
+        fleet.down_reports
     );
 }
 
--- a/crates/membership/tests/simulated_fleet/mod.rs
+++ b/crates/membership/tests/simulated_fleet/mod.rs
@@ -39,7 +39,7 @@
     loss: f64,
     rng: ChaCha8Rng,
     /// Reports of members that are down: the reporting director, and the member's name.
-    pub downs: Vec<(usize, String)>,
+    pub down_reports: Vec<(usize, String)>,
 }
 
 fn address(director: usize) -> SocketAddr {
@@ -98,7 +98,7 @@
             sent: 0,
             loss,
             rng: ChaCha8Rng::seed_from_u64(32),
-            downs: Vec::new(),
+            down_reports: Vec::new(),
         };
         (0..size).for_each(|director| fleet.collect_outputs(director));
         fleet
@@ -112,7 +112,7 @@
         {
             match output {
                 Output::Send { to, bytes } => self.transmit(director, to, bytes),
-                Output::MemberDown(member) => self.downs.push((director, member.name)),
+                Output::MemberDown(member) => self.down_reports.push((director, member.name)),
                 Output::MemberUp(_) | Output::NameConflict { .. } => {}
             }
         }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn utilization_decides_between_preferred_rung_lower_rung_and_rejection() {
-    for (share, want) in [
+    for (utilization, want) in [
         (0.2, Some(4)),
         (0.70, Some(3)),
         (0.88, Some(1)),
@@ -21,12 +21,12 @@
         (0.95, None),
     ] {
         let mut harness = DirectorHarness::new(settings(), 1);
-        harness.notify(99, ServerId(1), Notification::LinkUtilization(share));
+        harness.notify(99, ServerId(1), Notification::LinkUtilization(utilization));
         let out = harness.request_session(1, IDEMPOTENT);
         assert_eq!(
             (chosen_rung(&out), is_rejected(&out)),
             (want, want.is_none()),
-            "at {share}"
+            "at {utilization}"
         );
     }
 }
@@ -42,8 +42,8 @@
 fn the_least_loaded_server_is_chosen_also_within_one_rack() {
     // Servers 1 and 3 share a rack whose uplink has a higher utilization than their links.
     let mut harness = DirectorHarness::new(settings(), 4);
-    for (id, share) in [(1, 0.5), (2, 0.6), (3, 0.1), (4, 0.6)] {
-        harness.report_utilization(99, ServerId(id), share, 0.6);
+    for (id, utilization) in [(1, 0.5), (2, 0.6), (3, 0.1), (4, 0.6)] {
+        harness.report_utilization(99, ServerId(id), utilization, 0.6);
     }
     assert_eq!(
         attempted_server(&harness.request_session(1, IDEMPOTENT)),
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_zone_crossing_adds_load_in_proportion_to_its_price() {
-    for (price, share, want) in [(0.04, 0.3, 1), (0.04, 0.9, 2), (0.0, 0.3, 2)] {
+    for (price, utilization, want) in [(0.04, 0.3, 1), (0.04, 0.9, 2), (0.0, 0.3, 2)] {
         let mut settings = Settings {
             zone: Some(0),
             zone_crossing_price: price,
@@ -176,12 +176,12 @@
             ],
         );
         harness.now = Timestamp::ZERO + 60 * SECOND;
-        harness.notify(99, ServerId(1), Notification::LinkUtilization(share));
+        harness.notify(99, ServerId(1), Notification::LinkUtilization(utilization));
         harness.notify(99, ServerId(2), Notification::LinkUtilization(0.2));
         assert_eq!(
             attempted_server(&harness.request_session(1, IDEMPOTENT)),
             Some(ServerId(want)),
-            "at {price}, {share}"
+            "at {price}, {utilization}"
         );
     }
 }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -79,12 +79,12 @@
     assert!(given(8) < given(0), "{:?} and {:?}", given(8), given(0));
 }
 
-/// Capacity of the only link in [`rungs_from_empty`].
+/// Capacity of the only link in [`rungs_on_idle_link`].
 const LINK_KB_S: f64 = 30_000.0;
 
 /// The rungs given to one viewer per second, starting with an idle link that can carry 14 sessions at the top rung.
 /// Viewers have the duration hint `hint` and leave after `stay_s` seconds.
-fn rungs_from_empty(hint: TimeDelta, stay_s: u64, is_retry: bool, viewers: u64) -> Vec<usize> {
+fn rungs_on_idle_link(hint: TimeDelta, stay_s: u64, is_retry: bool, viewers: u64) -> Vec<usize> {
     let mut settings = settings();
     settings.rack_count = 0;
     settings.rack_uplink_kb_s = 0.0;
@@ -123,17 +123,17 @@
 #[test]
 fn a_filling_fleet_leaves_capacity_for_expected_arrivals() {
     // One viewer per second for two minutes each results in 120 concurrent sessions.
-    let long = rungs_from_empty(120 * SECOND, 120, false, 40);
+    let long = rungs_on_idle_link(120 * SECOND, 120, false, 40);
     assert_eq!(long[..3], [4; 3], "a few viewers are not extrapolated");
     assert!(long[13..].iter().all(|r| *r < 4), "{long:?}");
     // With five seconds each there are only five concurrent sessions, and all may have the top rung.
-    assert_eq!(rungs_from_empty(5 * SECOND, 5, false, 40), [4; 40]);
+    assert_eq!(rungs_on_idle_link(5 * SECOND, 5, false, 40), [4; 40]);
 }
 
 #[test]
 fn returning_viewers_do_not_count_as_new_demand() {
     let tops = |is_retry| {
-        rungs_from_empty(120 * SECOND, 120, is_retry, 40)
+        rungs_on_idle_link(120 * SECOND, 120, is_retry, 40)
             .iter()
             .filter(|r| **r == 4)
             .count()
@@ -150,7 +150,7 @@
 fn wrong_duration_hints_are_corrected_by_observed_durations() {
     // Sessions last 10 s with hints of 100 s. The hints are trusted at first, and corrected once sessions have ended.
     let sums = |hint, from: usize| {
-        let rungs = rungs_from_empty(hint, 10, false, 120);
+        let rungs = rungs_on_idle_link(hint, 10, false, 120);
         rungs[from..from + 20].iter().sum::<usize>()
     };
     assert!(
--- a/tests/freed_capacity.rs
+++ b/tests/freed_capacity.rs
@@ -9,7 +9,7 @@
 use shalewall::{Action, Event, Notification, Request, ServerId, TimeDelta};
 
 /// A director with one server, whose link is full with this number of sessions at the top rung.
-fn full_of_top_rungs(sessions: u64, hint: TimeDelta) -> DirectorHarness {
+fn harness_with_full_link(sessions: u64, hint: TimeDelta) -> DirectorHarness {
     let mut settings = settings();
     settings.rack_count = 0;
     settings.rack_uplink_kb_s = 0.0;
@@ -46,7 +46,7 @@
 
 #[test]
 fn own_sessions_are_downgraded_for_a_request_that_would_be_rejected() {
-    let mut harness = full_of_top_rungs(4, 600 * SECOND);
+    let mut harness = harness_with_full_link(4, 600 * SECOND);
     let out = request_session(&mut harness, 9, 600 * SECOND);
     assert_eq!(attempted_server(&out), Some(ServerId(1)));
     assert_eq!(
@@ -64,14 +64,14 @@
 #[test]
 fn a_short_session_does_not_justify_a_downgrade() {
     // A burst of sessions of 5 s must not downgrade all others (simulated scene 'peeks').
-    let mut harness = full_of_top_rungs(4, 600 * SECOND);
+    let mut harness = harness_with_full_link(4, 600 * SECOND);
     let out = request_session(&mut harness, 9, 3 * SECOND / 2);
     assert!(is_rejected(&out) && downgraded(&out, 9).is_empty());
 }
 
 #[test]
 fn a_session_is_not_downgraded_again_within_the_reconsider_interval() {
-    let mut harness = full_of_top_rungs(1, 600 * SECOND);
+    let mut harness = harness_with_full_link(1, 600 * SECOND);
     assert_eq!(
         downgraded(&request_session(&mut harness, 9, 600 * SECOND), 9),
         vec![1]
@@ -93,11 +93,11 @@
 
 #[test]
 fn no_capacity_is_freed_at_a_server_with_a_shortage_or_for_a_request_without_a_legal_rung() {
-    let mut harness = full_of_top_rungs(4, 600 * SECOND);
+    let mut harness = harness_with_full_link(4, 600 * SECOND);
     harness.notify(1, ServerId(1), Notification::DeliveredFraction(0.9));
     assert!(is_rejected(&request_session(&mut harness, 9, 600 * SECOND)));
     // A player that cannot use the class's lowest rung.
-    let mut harness = full_of_top_rungs(4, 600 * SECOND);
+    let mut harness = harness_with_full_link(4, 600 * SECOND);
     let request = Request {
         highest_rung: 0,
         duration_hint: Some(600 * SECOND),
--- a/tests/rung_changes.rs
+++ b/tests/rung_changes.rs
@@ -181,7 +181,7 @@
 
 #[test]
 fn a_transferred_session_keeps_its_rung_on_a_full_link_or_near_its_end() {
-    for (share, hint, want) in [
+    for (utilization, hint, want) in [
         (0.99, 40 * SECOND, None),
         (0.02, SECOND / 10, None),
         (0.02, 40 * SECOND, Some(4)),
@@ -194,11 +194,11 @@
             ..viewer_request(1, IDEMPOTENT, harness.now)
         };
         harness.handle(Event::SessionTransferred(request, ServerId(1)));
-        harness.report_utilization(1, ServerId(1), share, share / 2.0);
+        harness.report_utilization(1, ServerId(1), utilization, utilization / 2.0);
         assert_eq!(
             chosen_rung(&harness.fire_tick()),
             want,
-            "at {share} with {hint:?} left"
+            "at {utilization} with {hint:?} left"
         );
     }
 }
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -29,7 +29,7 @@
 }
 
 /// Total number of attempts by this number of directors if each gets one request for a title of the same server.
-fn attempts_of_all(directors: u32, update: impl Fn(&mut DirectorHarness)) -> usize {
+fn count_attempts(directors: u32, update: impl Fn(&mut DirectorHarness)) -> usize {
     let settings = Settings {
         director_count: directors,
         ..settings()
@@ -62,7 +62,7 @@
     };
     // The overload rate is 2 * 30 streams * 0.4 / 12 s: 4 in two seconds.
     let sent: Vec<usize> = [10, 30, 100, 300]
-        .map(|n| attempts_of_all(n, started))
+        .map(|n| count_attempts(n, started))
         .into();
     assert!(
         sent.iter().all(|n| *n <= 6) && sent.iter().sum::<usize>() >= 4,
@@ -107,6 +107,6 @@
         harness.update_endpoints(EndpointUpdate::Cached, vec![endpoint(1)]);
     };
     // The requests are spread over 4 cells, so 4 times as many may be sent to each server.
-    let sent = attempts_of_all(300, cached);
+    let sent = count_attempts(300, cached);
     assert!((4..=20).contains(&sent), "{sent} attempts");
 }
