--- a/crates/settings/src/field_names.rs
+++ b/crates/settings/src/field_names.rs
@@ -1,10 +1,10 @@
 //! Fields whose names in files differ from those in the code.
 //!
-//! Deserialization takes the names of files from `#[serde(rename)]`; errors of ranges come with the names of the code,
-//! and are shown with those of files by this table. A test gives each field of the fixtures a wrong value, and would
-//! find one that is missing here.
+//! Deserialization uses the names in files, by `#[serde(rename)]`. Validation of ranges reports the names in the code,
+//! which this table maps to those in files. A test sets each field of the fixtures to an invalid value and detects
+//! missing entries.
 
-/// The name in files of each field that has another one in the code: (code, file).
+/// Pairs of a field's name in the code and its different name in files.
 const FILE_NAMES: [(&str, &str); 84] = [
     ("base", "free"),
     ("can_cancel", "may_cancel"),
@@ -25,6 +25,7 @@
     ("faults", "trouble"),
     ("first_cell", "home"),
     ("fleet_kb_s", "fleet_kb"),
+    ("migratable_fraction", "follow"),
     ("fraction", "part"),
     ("health_check", "probe"),
     ("highest_rung", "top"),
@@ -50,7 +51,6 @@
     ("max_per_node", "at_node"),
     ("max_retry_after_ms", "max_come_back_ms"),
     ("max_sessions", "most_sessions"),
-    ("migratable_fraction", "follow"),
     ("min_batch_interval_ms", "step_ms"),
     ("min_length_s", "shortest_s"),
     ("min_shortage_s", "lasts_s"),
