--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -258,7 +258,7 @@
 
     /// The process dies: connections are reset, new ones refused, sessions lost.
     pub fn crash(&self, id: u64) {
-        let fell = self
+        let overloaded = self
             .inner
             .borrow()
             .fleet
@@ -281,7 +281,7 @@
         self.recorder.note(Record::NodeStopped {
             time: shalewall_clock::now(),
             node: id,
-            overloaded: fell,
+            overloaded,
         });
     }
 
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/fleet-model/src/fleet.rs
@@ -1,66 +1,66 @@
-//! Media nodes and the links that they share: what links give, which set-ups a node takes, when it falls over.
+//! Media nodes and the links that they share: link bandwidth, admission of set-ups, and failure by overload.
 //!
-//! A node's link and its rack's uplink are shared by all sessions on them: where more is asked than they give, every
-//! session gets the same fraction of its rate. A node that has just started takes set-ups at a pace that grows with
-//! its warm-up; pushed beyond a multiple of that pace it falls over and stays down.
+//! A node's link and its rack's uplink are shared by all sessions on them: when the demand exceeds the bandwidth, every
+//! session gets the same fraction of its rate. A node that has just started accepts set-ups at a rate that grows while
+//! it warms up; above a multiple of that rate it fails of overload and stays down.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalewall::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Set-ups that a cold node bears beyond its limit, since arrivals are bunched by chance.
-const OVERLOAD_SLACK: f64 = 2.0;
-/// A set-up takes between this fraction of its usual time ...
-const SHORTEST_SETUP: f64 = 0.7;
-/// ... and this much more, drawn evenly.
-const SETUP_SPREAD: f64 = 0.6;
-/// Least fraction of a link that a competing load leaves.
-const LEAST_LINK_LEFT: f64 = 0.01;
-/// Keeps a ratio finite where nothing is given.
-const SMALLEST_DIVISOR: f64 = 1e-9;
+/// Set-ups that a cold node tolerates above its overload limit, because random arrivals come in clusters.
+const OVERLOAD_SLACK_SETUPS: f64 = 2.0;
+/// Lower bound of a set-up's duration, as a factor of the usual set-up time.
+const MIN_SETUP_TIME_FACTOR: f64 = 0.7;
+/// Width of the uniform distribution of that factor above [`MIN_SETUP_TIME_FACTOR`].
+const SETUP_TIME_FACTOR_RANGE: f64 = 0.6;
+/// Smallest fraction of a link that a competing load leaves, and smallest slowdown that divides a link's bandwidth.
+const MIN_LINK_FRACTION: f64 = 0.01;
+/// Keeps a ratio finite when the divisor is 0.
+const MIN_DIVISOR: f64 = 1e-9;
 
 /// Parameters that all nodes share.
 #[derive(Clone, Debug)]
 pub struct FleetParameters {
-    /// True rates lie above or below the ladder's by up to this fraction.
+    /// Largest relative deviation of a session's true rate from the rate in the ladder.
     pub rate_deviation: f64,
-    /// Usual time of a set-up.
+    /// Usual duration of a set-up.
     pub setup_time: TimeDelta,
-    /// Load reports are refreshed at this interval.
+    /// Interval at which load reports are refreshed.
     pub report_interval: TimeDelta,
-    /// Load reports are wrong by up to this fraction.
+    /// Largest relative error of load reports.
     pub report_noise: f64,
-    /// Set-ups are rejected from this utilization of the link on; 0: never.
+    /// Link utilization from which set-ups are rejected; 0 disables the check.
     pub rejection_threshold: f64,
-    /// A node is warm this long after its start.
+    /// Time from a node's start until it has its full capacity.
     pub warm_up: TimeDelta,
-    /// Fraction of its capacity at which a node starts.
+    /// Fraction of its capacity that a node has when it starts.
     pub initial_capacity: f64,
-    /// A cold node falls over at this multiple of its pace ...
+    /// A cold node fails when set-ups arrive at more than this multiple of the rate that it can accept.
     pub overload_factor: f64,
-    /// ... counted over this window.
+    /// Window over which the arrivals are counted.
     pub overload_window: TimeDelta,
-    /// Uplink of each rack, kilobytes a second; empty: racks have none.
+    /// Uplink bandwidth of each rack in kilobytes per second; empty if racks have no uplink limit.
     pub uplinks_kb_s: Vec<f64>,
 }
 
 /// The machine that a node runs on.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// The node's number.
+    /// Number of the node.
     pub id: u64,
-    /// Its zone's name.
+    /// Name of the zone.
     pub zone: String,
-    /// Its machine kind's name.
+    /// Name of the machine kind.
     pub kind: String,
-    /// The cell that it stands in; its rack is this modulo the number of racks.
+    /// Cell of the machine; its rack is the cell modulo the number of racks.
     pub cell: u64,
     /// Weight in the endpoint list.
     pub weight: f64,
-    /// Streams that it runs at most.
+    /// Maximum number of concurrent streams.
     pub stream_capacity: f64,
-    /// What its link gives, kilobytes a second; the endpoint list may say otherwise.
+    /// Link bandwidth in kilobytes per second; the weight in the endpoint list may not match it.
     pub link_kb_s: f64,
 }
 
@@ -76,36 +76,36 @@
 /// A session that plays at a node.
 #[derive(Clone, Debug)]
 pub struct ActiveSession {
-    /// The director that set it up.
+    /// Director that set up the session.
     pub director: u32,
-    /// The viewer's key as its director has it.
+    /// Key of the viewer, as the director passed it.
     pub viewer: u64,
-    /// The viewer's tenant.
+    /// Tenant of the viewer.
     pub tenant: Option<String>,
-    /// Name of its class.
+    /// Name of the class.
     pub class: String,
-    /// Name of its title.
+    /// Name of the title.
     pub title: String,
-    /// The rung in force.
+    /// Current rung.
     pub rung: usize,
-    /// Rate of that rung by the ladder, kilobytes a second.
+    /// Rate of that rung in the ladder, kilobytes per second.
     pub rate_kb_s: f64,
-    /// Rate that it really asks, kilobytes a second.
+    /// Actual rate of the stream, kilobytes per second.
     pub true_rate_kb_s: f64,
 }
 
 /// State of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It serves.
+    /// Serves requests.
     Running,
-    /// It stands still and keeps what it holds.
+    /// Suspended: answers nothing, but keeps its connections and sessions.
     Frozen,
-    /// It is gone.
+    /// Not running.
     Down,
 }
 
-/// A node and what it holds.
+/// A node with its sessions and set-ups.
 #[derive(Debug)]
 pub struct Node {
     /// The machine that it runs on.
@@ -114,19 +114,19 @@
     pub process: ProcessState,
     /// When its process started.
     pub started_at: Timestamp,
-    /// It was warm from its start on.
+    /// Whether it had its full capacity from its start.
     pub started_warm: bool,
-    /// It was pushed over, and stays down.
+    /// Whether it failed of overload.
     pub fell_over: bool,
-    /// Sessions that play.
+    /// Sessions that are playing.
     pub playing: BTreeMap<AttemptId, ActiveSession>,
-    /// Set-ups under way.
+    /// Number of set-ups in progress.
     pub setups_in_flight: usize,
-    /// Attempts that were told to end: a set-up that comes later does not begin.
+    /// Attempts that were ended; a set-up of one of them that arrives later is cancelled.
     pub ended: BTreeSet<AttemptId>,
-    /// Fraction of the link that another program takes.
+    /// Fraction of the link that other programs use.
     pub competing_load: f64,
-    /// Set-ups take this many times longer, and the link gives this many times less.
+    /// Factor by which set-ups take longer, and by which the link's bandwidth is reduced.
     pub slowdown: f64,
     arrivals: VecDeque<Timestamp>,
     reported: NodeLoad,
@@ -136,46 +136,46 @@
 /// Load of a node at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeLoad {
-    /// Utilization of its link: asked over given.
+    /// Utilization of its link: demand divided by bandwidth.
     pub link: f64,
     /// Utilization of its rack's uplink.
     pub uplink: f64,
-    /// Fraction of their rates that its sessions get.
+    /// Fraction of their rates that its sessions receive.
     pub delivered: f64,
-    /// Streams that play or are being set up.
+    /// Number of streams that are playing or being set up.
     pub streams: usize,
 }
 
-/// What a node makes of a set-up that arrives.
+/// Decision of a node about a set-up that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetupDecision {
-    /// It takes this long.
+    /// Accepted; the set-up takes this time.
     Accepted(TimeDelta),
-    /// No stream is free, or the link is full: nothing ran.
+    /// Rejected without side effects: no stream is free, or the link is full.
     Rejected,
-    /// It was told to end before it came.
+    /// The attempt was ended before its set-up arrived.
     Cancelled,
-    /// The node falls over by it.
+    /// The node fails of overload.
     Overloaded,
 }
 
-/// All nodes, their links, and the source of chance.
+/// All nodes, their links, and the random number generator.
 #[derive(Debug)]
 pub struct Fleet {
     /// Parameters that all nodes share.
     pub parameters: FleetParameters,
     /// Nodes by number.
     pub nodes: BTreeMap<u64, Node>,
-    /// All links give this many times less.
+    /// Factor by which the bandwidth of all links is reduced.
     pub link_slowdown: f64,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
-fn asked_kb_s(node: &Node) -> f64 {
+fn demand_kb_s(node: &Node) -> f64 {
     node.playing.values().map(|p| p.true_rate_kb_s).sum()
 }
 
-/// Fraction of what is asked that a link of this utilization delivers.
+/// Fraction of the demand that a link of this utilization delivers.
 fn delivered_fraction(utilization: f64) -> f64 {
     if utilization > 1.0 {
         1.0 / utilization
@@ -185,17 +185,17 @@
 }
 
 impl Fleet {
-    /// A fleet without nodes. Equal seeds and calls give equal results.
+    /// Creates a fleet without nodes. The same seed and calls produce the same results.
     pub fn new(parameters: FleetParameters, seed: u64) -> Fleet {
         Fleet {
             parameters,
             nodes: BTreeMap::new(),
             link_slowdown: 1.0,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Starts a node's process: warm, or cold from now on.
+    /// Starts a node's process. With `warm` it has its full capacity at once; otherwise it warms up from `now` on.
     pub fn start(&mut self, machine: Machine, now: Timestamp, warm: bool) {
         let node = Node {
             process: ProcessState::Running,
@@ -218,8 +218,8 @@
         self.nodes.insert(node.machine.id, node);
     }
 
-    /// Fraction of its capacity that a node has warmed up to.
-    pub fn warmed_fraction(&self, node: &Node, now: Timestamp) -> f64 {
+    /// Fraction of its capacity that a node has at this point of its warm-up.
+    pub fn capacity_fraction(&self, node: &Node, now: Timestamp) -> f64 {
         let parameters = &self.parameters;
         if node.started_warm || parameters.warm_up <= TimeDelta::ZERO {
             return 1.0;
@@ -229,30 +229,30 @@
         parameters.initial_capacity + (1.0 - parameters.initial_capacity) * progress
     }
 
-    /// Set-ups within the overload window that a cold node bears.
-    fn overload_limit(&self, node: &Node, warmed: f64) -> f64 {
+    /// Number of set-ups within the overload window above which a cold node fails.
+    fn overload_limit(&self, node: &Node, capacity_fraction: f64) -> f64 {
         let parameters = &self.parameters;
         let warm_up = parameters.warm_up.as_micros().max(1) as f64;
-        let pace = node.machine.stream_capacity / warm_up * warmed;
+        let pace = node.machine.stream_capacity / warm_up * capacity_fraction;
         let window = parameters.overload_window.as_micros() as f64;
-        parameters.overload_factor * pace * window + OVERLOAD_SLACK
+        parameters.overload_factor * pace * window + OVERLOAD_SLACK_SETUPS
     }
 
-    /// A set-up arrives at a node.
+    /// Handles a set-up that arrives at a node.
     pub fn begin_setup(&mut self, id: u64, attempt: AttemptId, now: Timestamp) -> SetupDecision {
         let Some(node) = self.nodes.get(&id) else {
             return SetupDecision::Rejected;
         };
-        let warmed = self.warmed_fraction(node, now);
+        let capacity_fraction = self.capacity_fraction(node, now);
         let parameters = &self.parameters;
         let is_cold = !node.started_warm && now - node.started_at < parameters.warm_up;
-        let overload_limit = self.overload_limit(node, warmed);
+        let overload_limit = self.overload_limit(node, capacity_fraction);
         let threshold = parameters.rejection_threshold;
         let link_is_full = threshold > 0.0 && self.load(id).link >= threshold;
         let usual_time = parameters.setup_time.as_micros() as f64;
         let window = parameters.overload_window;
-        let variation = SHORTEST_SETUP + SETUP_SPREAD * self.random.random::<f64>();
-        let setup_micros = usual_time / warmed * variation;
+        let variation = MIN_SETUP_TIME_FACTOR + SETUP_TIME_FACTOR_RANGE * self.rng.random::<f64>();
+        let setup_micros = usual_time / capacity_fraction * variation;
         let Some(node) = self.nodes.get_mut(&id) else {
             return SetupDecision::Rejected;
         };
@@ -274,7 +274,8 @@
         ))
     }
 
-    /// A session arrives from another node. It may have played here before, so that an earlier end does not count.
+    /// Handles a session that migrates to a node. It may have played there before, so an earlier end of the attempt is
+    /// ignored.
     pub fn begin_migration(
         &mut self,
         id: u64,
@@ -287,7 +288,8 @@
         self.begin_setup(id, attempt, now)
     }
 
-    /// A set-up is over. False where it was told to end meanwhile, or the node is gone: it does not play.
+    /// Completes a set-up. Returns false if the attempt was ended meanwhile or the node is down; the session then does
+    /// not play.
     pub fn complete_setup(
         &mut self,
         id: u64,
@@ -295,7 +297,7 @@
         mut session: ActiveSession,
     ) -> bool {
         let deviation = self.parameters.rate_deviation;
-        let drawn = 2.0 * self.random.random::<f64>() - 1.0;
+        let drawn = 2.0 * self.rng.random::<f64>() - 1.0;
         session.true_rate_kb_s = session.rate_kb_s * (1.0 + deviation * drawn);
         let Some(node) = self.nodes.get_mut(&id) else {
             return false;
@@ -308,14 +310,15 @@
         true
     }
 
-    /// A set-up was given up before it was over.
+    /// Removes a set-up that was abandoned before it completed.
     pub fn abandon_setup(&mut self, id: u64) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.setups_in_flight = node.setups_in_flight.saturating_sub(1);
         }
     }
 
-    /// Ends a session, now or when its set-up comes. True if it played.
+    /// Ends a session, and cancels a set-up of the same attempt that arrives later. Returns whether the session was
+    /// playing.
     pub fn end_session(&mut self, id: u64, attempt: AttemptId) -> bool {
         let Some(node) = self.nodes.get_mut(&id) else {
             return false;
@@ -324,27 +327,27 @@
         node.playing.remove(&attempt).is_some()
     }
 
-    /// Changes the rung of a session. False if it does not play there.
+    /// Changes the rung of a session. Returns false if the session does not play at the node.
     pub fn set_rung(&mut self, id: u64, attempt: AttemptId, rung: usize, rate_kb_s: f64) -> bool {
         let node = self.nodes.get_mut(&id);
         let Some(session) = node.and_then(|node| node.playing.get_mut(&attempt)) else {
             return false;
         };
-        let true_per_told = session.true_rate_kb_s / session.rate_kb_s.max(SMALLEST_DIVISOR);
-        session.true_rate_kb_s = true_per_told * rate_kb_s;
+        let true_rate_ratio = session.true_rate_kb_s / session.rate_kb_s.max(MIN_DIVISOR);
+        session.true_rate_kb_s = true_rate_ratio * rate_kb_s;
         session.rate_kb_s = rate_kb_s;
         session.rung = rung;
         true
     }
 
-    /// What a node's link gives now, kilobytes a second.
+    /// Current bandwidth of a node's link, kilobytes per second.
     fn link_kb_s(&self, node: &Node) -> f64 {
-        let left = (1.0 - node.competing_load).max(LEAST_LINK_LEFT);
-        let slowdown = (self.link_slowdown * node.slowdown).max(LEAST_LINK_LEFT);
+        let left = (1.0 - node.competing_load).max(MIN_LINK_FRACTION);
+        let slowdown = (self.link_slowdown * node.slowdown).max(MIN_LINK_FRACTION);
         node.machine.link_kb_s * left / slowdown
     }
 
-    /// Utilization of the uplink of a node's rack; 0 where racks have none.
+    /// Utilization of the uplink of a node's rack; 0 if racks have no uplink limit.
     fn uplink_utilization(&self, node: &Node) -> f64 {
         let racks = self.parameters.uplinks_kb_s.len() as u64;
         let Some(rack) = node.machine.cell.checked_rem(racks) else {
@@ -357,17 +360,17 @@
             .values()
             .filter(up)
             .filter(same_rack)
-            .map(|other| asked_kb_s(other).min(self.link_kb_s(other)))
+            .map(|other| demand_kb_s(other).min(self.link_kb_s(other)))
             .sum();
-        passed_kb_s / self.parameters.uplinks_kb_s[rack as usize].max(SMALLEST_DIVISOR)
+        passed_kb_s / self.parameters.uplinks_kb_s[rack as usize].max(MIN_DIVISOR)
     }
 
-    /// The true load of a node now.
+    /// Current load of a node, without the noise of load reports.
     pub fn load(&self, id: u64) -> NodeLoad {
         let Some(node) = self.nodes.get(&id) else {
             return NodeLoad::default();
         };
-        let link = asked_kb_s(node) / self.link_kb_s(node);
+        let link = demand_kb_s(node) / self.link_kb_s(node);
         let uplink = self.uplink_utilization(node);
         let delivered = match node.process {
             ProcessState::Running => delivered_fraction(link) * delivered_fraction(uplink),
@@ -381,15 +384,15 @@
         }
     }
 
-    /// Samples all nodes, so that reports can be of their age; samples older than `keep` are dropped. To be called
-    /// every 100 ms or so.
+    /// Samples the load of all nodes for load reports and delayed notifications, and drops samples older than `keep`.
+    /// To be called about every 100 ms.
     pub fn sample(&mut self, now: Timestamp, keep: TimeDelta) {
         let ids: Vec<u64> = self.nodes.keys().copied().collect();
         let noise = self.parameters.report_noise;
         let interval = self.parameters.report_interval;
         for id in ids {
             let load = self.load(id);
-            let mut deviation = || 1.0 + noise * (2.0 * self.random.random::<f64>() - 1.0);
+            let mut deviation = || 1.0 + noise * (2.0 * self.rng.random::<f64>() - 1.0);
             let reported = NodeLoad {
                 link: load.link * deviation(),
                 uplink: load.uplink * deviation(),
@@ -402,22 +405,22 @@
         }
     }
 
-    /// What a node reports of itself in answers: refreshed now and then, and noisy.
+    /// Load that a node reports in its responses: refreshed at the report interval, with noise.
     pub fn reported_load(&self, id: u64) -> NodeLoad {
         let node = self.nodes.get(&id);
         node.map(|node| node.reported).unwrap_or_default()
     }
 
-    /// The last load sampled up to a time, for notifications that come late.
+    /// Latest load that was sampled at or before a time, for delayed notifications.
     pub fn load_at(&self, id: u64, at: Timestamp) -> Option<NodeLoad> {
         let history = &self.nodes.get(&id)?.history;
         let sample = history.iter().rev().find(|(time, _)| *time <= at);
         sample.map(|(_, load)| *load)
     }
 
-    /// This fleet's source of chance, for faults that are drawn.
-    pub fn random(&mut self) -> &mut impl Rng {
-        &mut self.random
+    /// Random number generator of the fleet, for faults with random targets.
+    pub fn rng(&mut self) -> &mut impl Rng {
+        &mut self.rng
     }
 }
 
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/fleet-model/src/lib.rs
@@ -1,12 +1,12 @@
 //! Models of the media nodes and their viewers, without I/O and without a clock.
 //!
-//! The emulator drives them on loopback sockets and the simulation drives them in simulated time, so that both play
-//! the same fleet. [`fleet`] holds nodes, links and their limits; [`notifications`] says what nodes report unasked,
-//! and how late; [`population`] draws who arrives, for what and for how long; [`playhead`] models a player's buffer;
-//! [`totals`] adds up what came of the viewers.
+//! The emulator drives them on loopback sockets and the simulation drives them in simulated time, so that both run
+//! the same fleet. [`fleet`] holds nodes, links and their limits; [`notifications`] decides which load notifications
+//! nodes send, and with which delay; [`population`] draws the viewers that arrive, their classes, titles and watch
+//! times; [`playhead`] models a player's buffer; [`totals`] sums up the results of viewers.
 //!
-//! Times are arguments. Randomness comes from ChaCha8 with the caller's seed, so equal calls give equal results.
-//! The crate knows no sockets, no clocks, no decisions and no settings files.
+//! Times are arguments. Random numbers come from ChaCha8 with the caller's seed, so the same calls produce the same
+//! results. The crate contains no sockets, clocks, routing decisions or settings files.
 
 #![deny(missing_docs)]
 
--- a/crates/fleet-model/src/notifications.rs
+++ b/crates/fleet-model/src/notifications.rs
@@ -1,17 +1,17 @@
-//! Notifications that nodes send to directors unasked.
+//! Load notifications that nodes push to directors.
 //!
-//! While a node delivers short, each director with sessions there is told the fraction delivered once a second, and
-//! once more when the shortage is over. Link and uplink utilization are told at a fixed interval. Both come late, and
-//! on one of the director's sessions at that node.
+//! While a node delivers less than the rates of its sessions, it reports the delivered fraction once a second to each
+//! director with sessions there, and once more when the shortage is over. Link and uplink utilization are reported at
+//! a fixed interval. Both are delayed, and are sent on one of the director's sessions at that node.
 
 use crate::fleet::{Fleet, Node, NodeLoad, ProcessState};
 use shalewall::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Deliveries below this fraction of the rate are reported as a shortage.
-const SHORTAGE_BELOW: f64 = 0.98;
+/// Delivered fraction of the rate below which a shortage is reported.
+const SHORTAGE_THRESHOLD: f64 = 0.98;
 const SHORTAGE_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
-/// History is kept for this long beyond the delay, so that a late call still finds its sample.
+/// Samples are kept for this time beyond the notification delay, so that a late poll still finds its sample.
 const HISTORY_MARGIN: TimeDelta = TimeDelta::from_secs(1);
 
 /// One notification from a node to a director.
@@ -19,42 +19,44 @@
 pub struct Notification {
     /// The node that sends it.
     pub node: u64,
-    /// The director that it goes to.
+    /// The director that receives it.
     pub director: u32,
     /// The session that it is sent on.
     pub session: u64,
-    /// Fraction of the rate that the node delivers, if this is told now.
+    /// Delivered fraction of the rate, if it is due.
     pub delivered: Option<f64>,
-    /// Utilization of the node's link, if this is told now.
+    /// Utilization of the node's link, if it is due.
     pub link: Option<f64>,
-    /// Utilization of the rack's uplink, if this is told now.
+    /// Utilization of the rack's uplink, if it is due.
     pub uplink: Option<f64>,
 }
 
-/// Decides which notifications are due. Remembers who was told of a shortage, so that its end is told once.
+/// Decides which notifications are due. Keeps track of the directors that were notified of a shortage, so that each
+/// of them is notified once of its end.
 #[derive(Debug, Default)]
 pub struct Notifier {
     utilization_interval: TimeDelta,
     delay: TimeDelta,
-    told_short: BTreeMap<(u64, u32), bool>,
+    shortage_notified: BTreeMap<(u64, u32), bool>,
     last_shortage_step: i64,
     last_utilization_step: i64,
 }
 
-/// What is to be told in one call.
+/// Kinds of notification that are due in one poll.
 #[derive(Clone, Copy)]
 struct Due {
     shortage: bool,
     utilization: bool,
 }
 
-/// How many whole intervals fit before a time.
+/// Number of whole intervals before a time.
 fn step_of(now: Timestamp, interval: TimeDelta) -> i64 {
     now.as_micros() / interval.as_micros()
 }
 
 impl Notifier {
-    /// Utilization is told every `utilization_interval` (zero: never); everything is told `delay` late.
+    /// Creates a notifier that reports utilization every `utilization_interval` (zero disables it), and that delays
+    /// every notification by `delay`.
     pub fn new(utilization_interval: TimeDelta, delay: TimeDelta) -> Notifier {
         Notifier {
             utilization_interval,
@@ -63,10 +65,10 @@
         }
     }
 
-    /// Samples the fleet and returns what is to be sent now. To be called every 100 ms or so.
+    /// Samples the fleet and returns the notifications that are due. To be called about every 100 ms.
     pub fn poll(&mut self, fleet: &mut Fleet, now: Timestamp) -> Vec<Notification> {
         fleet.sample(now, self.delay + HISTORY_MARGIN);
-        let due = self.take_due(now);
+        let due = self.next_due(now);
         let mut notifications = Vec::new();
         if !due.shortage && !due.utilization {
             return notifications;
@@ -84,7 +86,7 @@
         notifications
     }
 
-    fn take_due(&mut self, now: Timestamp) -> Due {
+    fn next_due(&mut self, now: Timestamp) -> Due {
         let has_interval = self.utilization_interval > TimeDelta::ZERO;
         let shortage_step = step_of(now, SHORTAGE_INTERVAL);
         let utilization_step = if has_interval {
@@ -111,24 +113,24 @@
         load: NodeLoad,
         due: Due,
     ) -> Option<Notification> {
-        let told_short = self.told_short.entry((node, director)).or_default();
-        let is_short = load.delivered < SHORTAGE_BELOW;
-        let tell_delivered = due.shortage && (is_short || *told_short);
+        let shortage_notified = self.shortage_notified.entry((node, director)).or_default();
+        let has_shortage = load.delivered < SHORTAGE_THRESHOLD;
+        let notify_delivered = due.shortage && (has_shortage || *shortage_notified);
         if due.shortage {
-            *told_short = is_short;
+            *shortage_notified = has_shortage;
         }
-        (tell_delivered || due.utilization).then(|| Notification {
+        (notify_delivered || due.utilization).then(|| Notification {
             node,
             director,
             session,
-            delivered: tell_delivered.then_some(load.delivered),
+            delivered: notify_delivered.then_some(load.delivered),
             link: due.utilization.then_some(load.link),
             uplink: due.utilization.then_some(load.uplink),
         })
     }
 }
 
-/// The session on which each director with sessions at a node is notified: the first by number.
+/// The session on which each director with sessions at a node is notified: its session with the lowest number.
 fn first_session_of_each_director(node: &Node) -> BTreeMap<u32, u64> {
     let mut sessions = BTreeMap::new();
     for (attempt, playing) in &node.playing {
--- a/crates/fleet-model/src/playhead.rs
+++ b/crates/fleet-model/src/playhead.rs
@@ -1,26 +1,26 @@
-//! A player's buffer and playhead: what it has received, what it has shown, and each time the picture stood still.
+//! A player's buffer and playhead: media received, media shown, and playback gaps.
 //!
-//! Positions in a title are lengths of time from its begin, so they are [`TimeDelta`]s.
+//! Positions in a title are durations from its start, so they are [`TimeDelta`]s.
 
 use shalewall::{TimeDelta, Timestamp};
 
-/// Where the playhead is.
+/// State of the playhead.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// Nothing is shown before the start threshold is buffered.
+    /// Playback has not started: less than the start threshold is buffered.
     Buffering,
-    /// At position `from` at the time `since`.
+    /// Playing; the playhead was at position `from` at time `since`.
     Playing { since: Timestamp, from: TimeDelta },
-    /// The buffer is empty and the picture has stood still since then.
+    /// Rebuffering: the buffer has been empty since this time.
     Stalled { since: Timestamp },
 }
 
-/// A stretch in which the picture stood still, or that was left out.
+/// A stall of the playback, or a missing part of the title that was skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// When it began.
+    /// Start time.
     pub at: Timestamp,
-    /// How long it was.
+    /// Duration.
     pub length: TimeDelta,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Playhead {
-    /// A player that begins at a position once it has buffered so much.
+    /// Creates a player that starts at `first_position` once `start_threshold` is buffered.
     pub fn new(first_position: TimeDelta, start_threshold: TimeDelta) -> Playhead {
         Playhead {
             state: State::Buffering,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Position up to which media have been received.
+    /// Position up to which media has been received.
     pub fn received_to(&self) -> TimeDelta {
         self.received_to
     }
 
-    /// What is buffered and not shown yet.
+    /// Duration of the media that is buffered and not shown yet.
     pub fn buffered(&self, now: Timestamp) -> TimeDelta {
         match self.state {
             State::Buffering => self.received_to - self.first_position,
@@ -63,15 +63,15 @@
         }
     }
 
-    /// When the buffer runs dry, if nothing more is received.
-    pub fn dry_at(&self) -> Option<Timestamp> {
+    /// When the buffer becomes empty if nothing more is received; `None` if playback has not started or is stalled.
+    pub fn underrun_at(&self) -> Option<Timestamp> {
         match self.state {
             State::Playing { since, from } => Some(since + (self.received_to - from)),
             State::Buffering | State::Stalled { .. } => None,
         }
     }
 
-    /// Since when the picture stands still.
+    /// Start of the current stall, if playback is stalled.
     pub fn stalled_since(&self) -> Option<Timestamp> {
         match self.state {
             State::Stalled { since } => Some(since),
@@ -79,27 +79,27 @@
         }
     }
 
-    /// Whether the first picture has been shown.
+    /// Whether playback has started.
     pub fn has_started(&self) -> bool {
         self.state != State::Buffering
     }
 
-    /// Time passes.
+    /// Advances the playhead to `now`; playback stalls if the buffer became empty before.
     pub fn advance(&mut self, now: Timestamp) {
-        if let Some(dry) = self.dry_at().filter(|dry| *dry < now) {
-            self.state = State::Stalled { since: dry };
+        if let Some(underrun_at) = self.underrun_at().filter(|underrun_at| *underrun_at < now) {
+            self.state = State::Stalled { since: underrun_at };
         }
     }
 
-    /// A frame is received. What overlaps earlier frames is not shown twice; what is missing before it is left out
-    /// and counts as a gap.
+    /// Adds a received frame to the buffer. A part that overlaps earlier frames is ignored; a missing part before it is
+    /// skipped and counts as a gap.
     pub fn receive(&mut self, now: Timestamp, position: TimeDelta, length: TimeDelta) {
         self.advance(now);
         let before = self.received_to;
         let missing = (position - before).max(TimeDelta::ZERO);
         self.received_to = before.max(position + length.max(TimeDelta::ZERO));
         if self.received_to == before {
-            return; // nothing new
+            return; // duplicate of media received before
         }
         match self.state {
             State::Buffering => self.receive_while_buffering(now, missing),
--- a/crates/fleet-model/src/population.rs
+++ b/crates/fleet-model/src/population.rs
@@ -1,41 +1,41 @@
-//! Who arrives: class, title, length of the session, and what the viewer's player can show.
+//! Random viewers: their arrivals, class, title, watch time, and the rungs that their players support.
 
 use rand::{Rng, RngExt};
 use std::time::Duration;
 
-/// Arrivals are drawn anew after this time at the latest, so that a change of their rate is not missed.
-const LONGEST_GAP_S: f64 = 60.0;
-/// Slowest rate of arrivals that is drawn, a second.
-const SLOWEST_RATE: f64 = 0.001;
-/// Rungs at the top of the ladder that a limited player cannot use.
-const RUNGS_OUT_OF_REACH: usize = 2;
-/// Shortages cost worth below this fraction of the rate.
-const SHORTAGE_BELOW: f64 = 0.98;
+/// Longest time until the next arrival is drawn again, so that a change of the rate takes effect.
+const MAX_ARRIVAL_INTERVAL_S: f64 = 60.0;
+/// Lower bound of the arrival rate, viewers per second.
+const MIN_ARRIVALS_PER_S: f64 = 0.001;
+/// Number of rungs at the top of the ladder that a limited player does not support.
+const UNSUPPORTED_TOP_RUNGS: usize = 2;
+/// Delivered fraction of the rate below which a shortage reduces the worth of a session.
+const SHORTAGE_THRESHOLD: f64 = 0.98;
 
-/// A class of request as viewers know it.
+/// Request class, with the parameters of its viewers.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name in the settings.
+    /// Name in the settings.
     pub name: String,
-    /// Fraction of all viewers.
+    /// Fraction of all viewers that request this class.
     pub fraction: f64,
-    /// A viewer that has no answer after this gives up.
+    /// Time that a viewer waits for a response.
     pub request_timeout: Duration,
-    /// Answers after this earn less.
+    /// Latency above which a response earns less.
     pub latency_objective: Duration,
-    /// Worth of a second at a rung of utility 1.
+    /// Worth of one second of playback at a rung of utility 1.
     pub priority_weight: f64,
     /// Highest rung.
     pub highest_rung: usize,
-    /// Shortest session.
+    /// Shortest watch time.
     pub shortest: Duration,
-    /// Longest session.
+    /// Longest watch time.
     pub longest: Duration,
-    /// Its titles are live: nothing of them can be fetched ahead.
+    /// Whether its titles are live, so that media cannot be fetched ahead of real time.
     pub live: bool,
 }
 
-/// What a surge of viewers comes for.
+/// What the additional viewers of a surge request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Interest {
     /// One title, by its name.
@@ -44,59 +44,59 @@
     Class(usize),
 }
 
-/// The viewers of a day, as distributions to draw from.
+/// Distributions from which the viewers of a day are drawn.
 #[derive(Clone, Debug)]
 pub struct ViewerPopulation {
-    /// Arrivals a second at the usual rate.
+    /// Usual arrival rate, viewers per second.
     pub arrivals_per_s: f64,
-    /// Tenants, and how many times the usual rate each one's viewers arrive. Empty: viewers name no tenant.
+    /// Tenants, each with the factor of the usual rate at which its viewers arrive. Empty if viewers have no tenant.
     pub tenants: Vec<(String, f64)>,
-    /// Classes of request.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Titles, most wanted first.
+    /// Titles, most popular first.
     pub titles: Vec<String>,
-    /// Exponent of the titles' popularity by rank (Zipf).
+    /// Exponent of the Zipf distribution of the titles' popularity.
     pub skew: f64,
-    /// Duration hints are the true length times this; 0: none are given.
+    /// Duration hints are the true watch time multiplied by this factor; 0 disables hints.
     pub hint_factor: f64,
-    /// Fraction of viewers whose players cannot use the two highest rungs.
+    /// Fraction of viewers whose players do not support the two highest rungs.
     pub limited_fraction: f64,
-    /// Fraction of viewers that retry after a rejection or a broken session.
+    /// Fraction of viewers that retry after a rejection or an interrupted session.
     pub retry_fraction: f64,
-    /// How long they wait before that.
+    /// Backoff before a retry.
     pub retry_pause: Duration,
-    /// Fraction of viewers whose players follow a session that migrates.
+    /// Fraction of viewers whose players support session migration.
     pub follow_fraction: f64,
-    /// Buffer of such a player for a live title.
+    /// Length of the buffer of such a player for a live title.
     pub live_buffer: Duration,
-    /// Buffer of such a player for a recorded title.
+    /// Length of the buffer of such a player for a recorded title.
     pub recorded_buffer: Duration,
     /// Utility of each rung.
     pub utility: Vec<f64>,
-    /// Points of worth lost for each point of the rate that is missing.
+    /// Fraction of the worth that is lost for each fraction of the rate that is missing.
     pub stall_penalty: f64,
-    /// A change of rung costs so many seconds of the class's worth.
+    /// Cost of a change of rung, in seconds of playback at the class's priority weight.
     pub rung_change_cost_s: f64,
 }
 
-/// One viewer that has arrived.
+/// A viewer that was drawn from a [`ViewerPopulation`].
 #[derive(Clone, Debug)]
 pub struct DrawnViewer {
-    /// Its key, the same when it retries.
+    /// Key of the viewer, the same for its retries.
     pub key: String,
     /// Index of its class.
     pub class: usize,
-    /// Name of the title that it wants.
+    /// Name of the requested title.
     pub title: String,
-    /// Highest rung that its player can use.
+    /// Highest rung that its player supports.
     pub highest_rung: usize,
-    /// How long it wants to watch.
+    /// Time for which it wants to watch.
     pub watch_time: Duration,
 }
 
-/// Index drawn with a probability proportional to its weight.
-fn draw_index(weights: impl Iterator<Item = f64> + Clone, random: &mut impl Rng) -> usize {
-    let mut remaining = random.random::<f64>() * weights.clone().sum::<f64>();
+/// Draws an index with a probability proportional to its weight.
+fn draw_index(weights: impl Iterator<Item = f64> + Clone, rng: &mut impl Rng) -> usize {
+    let mut remaining = rng.random::<f64>() * weights.clone().sum::<f64>();
     weights
         .into_iter()
         .position(|weight| {
@@ -107,25 +107,21 @@
 }
 
 impl ViewerPopulation {
-    /// Time to the next arrival at a multiple of the usual rate; a minute at most.
-    pub fn time_to_next_arrival(&self, rate_factor: f64, random: &mut impl Rng) -> Duration {
-        let rate = (self.arrivals_per_s * rate_factor).max(SLOWEST_RATE);
-        let seconds = -(1.0 - random.random::<f64>()).ln() / rate;
-        Duration::from_secs_f64(seconds.min(LONGEST_GAP_S))
+    /// Draws the time to the next arrival at a multiple of the usual rate, at most one minute.
+    pub fn time_to_next_arrival(&self, rate_factor: f64, rng: &mut impl Rng) -> Duration {
+        let rate = (self.arrivals_per_s * rate_factor).max(MIN_ARRIVALS_PER_S);
+        let seconds = -(1.0 - rng.random::<f64>()).ln() / rate;
+        Duration::from_secs_f64(seconds.min(MAX_ARRIVAL_INTERVAL_S))
     }
 
-    /// Draws one viewer. `surge`: what extra viewers come for, and the fraction of all arrivals that they are.
-    pub fn draw_viewer(
-        &self,
-        surge: Option<(&Interest, f64)>,
-        random: &mut impl Rng,
-    ) -> DrawnViewer {
+    /// Draws one viewer. `surge` is the interest of additional viewers, and their fraction of all arrivals.
+    pub fn draw_viewer(&self, surge: Option<(&Interest, f64)>, rng: &mut impl Rng) -> DrawnViewer {
         let interest = surge
-            .filter(|(_, fraction)| random.random::<f64>() < *fraction)
+            .filter(|(_, fraction)| rng.random::<f64>() < *fraction)
             .map(|(interest, _)| interest);
-        let usual_class = draw_index(self.classes.iter().map(|class| class.fraction), random);
+        let usual_class = draw_index(self.classes.iter().map(|class| class.fraction), rng);
         let popularity = (0..self.titles.len()).map(|rank| (rank as f64 + 1.0).powf(-self.skew));
-        let usual_title = draw_index(popularity, random);
+        let usual_title = draw_index(popularity, rng);
         let class = match interest {
             Some(Interest::Class(class)) => *class,
             _ => usual_class,
@@ -134,29 +130,31 @@
             Some(Interest::Title(title)) => title,
             _ => &self.titles[usual_title],
         };
-        let is_limited = random.random::<f64>() < self.limited_fraction;
-        let terms = &self.classes[class];
-        let spread = (terms.longest - terms.shortest).mul_f64(random.random());
-        let key = format!("viewer-{:016x}", random.random::<u64>());
-        let out_of_reach = if is_limited { RUNGS_OUT_OF_REACH } else { 0 };
+        let is_limited = rng.random::<f64>() < self.limited_fraction;
+        let class_parameters = &self.classes[class];
+        let spread = (class_parameters.longest - class_parameters.shortest).mul_f64(rng.random());
+        let key = format!("viewer-{:016x}", rng.random::<u64>());
+        let unsupported_rungs = if is_limited { UNSUPPORTED_TOP_RUNGS } else { 0 };
         DrawnViewer {
             key,
             class,
             title: title.clone(),
-            highest_rung: terms.highest_rung.saturating_sub(out_of_reach),
-            watch_time: terms.shortest + spread,
+            highest_rung: class_parameters
+                .highest_rung
+                .saturating_sub(unsupported_rungs),
+            watch_time: class_parameters.shortest + spread,
         }
     }
 
-    /// Worth that a viewer could earn within a time, in seconds at utility 1.
+    /// Worth that a viewer could earn within `within`, in seconds at utility 1.
     pub fn worth_offered(&self, viewer: &DrawnViewer, within: Duration) -> f64 {
         let utility = self.utility.get(viewer.highest_rung).copied();
         let seconds = viewer.watch_time.min(within).as_secs_f64();
         seconds * self.classes[viewer.class].priority_weight * utility.unwrap_or(1.0)
     }
 
-    /// Fraction of a session's worth that is left where this fraction of its rate is delivered.
+    /// Fraction of a session's worth that remains when this fraction of its rate is delivered.
     pub fn worth_kept(&self, delivered: f64) -> f64 {
-        (1.0 - self.stall_penalty * (SHORTAGE_BELOW - delivered).max(0.0)).max(0.0)
+        (1.0 - self.stall_penalty * (SHORTAGE_THRESHOLD - delivered).max(0.0)).max(0.0)
     }
 }
--- a/crates/fleet-model/src/totals.rs
+++ b/crates/fleet-model/src/totals.rs
@@ -1,44 +1,44 @@
-//! Totals over viewers, added up alike on sockets and in simulated time.
+//! Totals over viewers, used by the emulator and by the simulation.
 
 use std::collections::BTreeMap;
 
-/// Keeps a ratio finite where nothing was counted.
-const SMALLEST_DIVISOR: f64 = 1e-9;
+/// Keeps a ratio finite when the divisor is 0.
+const MIN_DIVISOR: f64 = 1e-9;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
-/// Sums over viewers, within the day. Worth is in seconds at a rung of utility 1.
+/// Sums over viewers within a day. Worth is in seconds at a rung of utility 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ViewerTotals {
-    /// Requests made.
+    /// Requests sent.
     pub requested: u64,
     /// Requests whose session played.
     pub played: u64,
     /// Requests that were rejected.
     pub rejected: u64,
-    /// Requests that were answered as failed.
+    /// Requests with a failure response.
     pub failed: u64,
-    /// Requests without an answer: the connection ended first, or could not be made.
+    /// Requests without a response: the connection failed, or closed before a response arrived.
     pub unanswered: u64,
-    /// Sessions that were cut while they played.
+    /// Sessions that were interrupted while they played.
     pub broken: u64,
-    /// Viewers that came.
+    /// Viewers that arrived.
     pub viewers: u64,
     /// Viewers that were rejected at least once.
     pub viewers_rejected: u64,
-    /// Viewers that wanted to watch and never did.
+    /// Viewers whose session never played.
     pub viewers_unserved: u64,
-    /// Changes of rung while playing.
+    /// Changes of rung during playback.
     pub rung_changes: u64,
-    /// Worth asked for.
+    /// Worth of all sessions that viewers requested.
     pub worth_offered: f64,
-    /// Worth got, less what stalls and changes of rung cost.
+    /// Worth of the sessions that played, less the cost of stalls and changes of rung.
     pub worth_earned: f64,
-    /// Seconds played at each rung.
+    /// Seconds of playback at each rung.
     pub seconds_by_rung: BTreeMap<usize, f64>,
 }
 
 fn ratio(numerator: f64, denominator: f64) -> f64 {
-    numerator / denominator.max(SMALLEST_DIVISOR)
+    numerator / denominator.max(MIN_DIVISOR)
 }
 
 impl ViewerTotals {
@@ -57,17 +57,17 @@
         ratio(self.viewers_rejected as f64, self.viewers as f64)
     }
 
-    /// Fraction of all viewers that wanted to watch and never did.
+    /// Fraction of all viewers whose session never played.
     pub fn unserved_fraction(&self) -> f64 {
         ratio(self.viewers_unserved as f64, self.viewers as f64)
     }
 
-    /// Seconds played at all rungs together.
+    /// Seconds of playback at all rungs together.
     pub fn played_s(&self) -> f64 {
         self.seconds_by_rung.values().sum()
     }
 
-    /// Changes of rung for each minute that a session played.
+    /// Changes of rung per minute of playback.
     pub fn rung_changes_per_minute(&self) -> f64 {
         ratio(
             self.rung_changes as f64 * SECONDS_PER_MINUTE,
@@ -76,12 +76,12 @@
     }
 }
 
-/// Totals of all viewers, and of each tenant's where they have any.
+/// Totals of all viewers, and of the viewers of each tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TotalsByTenant {
     /// Over all viewers.
     pub all: ViewerTotals,
-    /// Over the viewers of each tenant, by its name.
+    /// Over the viewers of each tenant, by the tenant's name.
     pub tenants: BTreeMap<String, ViewerTotals>,
 }
 
--- a/crates/fleet-model/tests/fleet.rs
+++ b/crates/fleet-model/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Links that are shared, cold nodes that are pushed, and ends that come before their set-up.
+//! Tests for shared links, overload of cold nodes, and sessions that end before their set-up arrives.
 
 use shalewall::{TimeDelta, Timestamp};
 use shalewall_fleet_model::fleet::{
@@ -63,12 +63,12 @@
 }
 
 #[test]
-fn everyone_on_a_link_and_its_uplink_is_cut_alike() {
+fn sessions_share_a_full_link_and_uplink_equally() {
     let mut fleet = fleet();
     play(&mut fleet, 0, 1, 800.0);
     play(&mut fleet, 0, 2, 800.0);
     assert!((fleet.load(0).delivered - 1.0 / 1.6).abs() < 1e-9);
-    // The other node's 800 and this one's 1000 that pass are more than the uplink's 1500.
+    // Node 0 sends 1000 KB/s, its link's bandwidth, and node 1 sends 800: more than the uplink's 1500.
     play(&mut fleet, 1, 3, 800.0);
     assert!((fleet.load(1).uplink - 1.2).abs() < 1e-9);
     assert!((fleet.load(1).delivered - 1.0 / 1.2).abs() < 1e-9);
@@ -76,23 +76,24 @@
 }
 
 #[test]
-fn a_cold_node_falls_over_when_pushed_and_a_warm_one_does_not() {
+fn a_cold_node_fails_of_overload_and_a_warm_node_does_not() {
     for warm in [true, false] {
         let mut fleet = fleet();
         let machine = fleet.nodes[&0].machine.clone();
         fleet.start(machine, START, warm);
-        // 20 places over 10 s at 0.4, twice that over 2 s: 3.2, and 2 for chance.
-        let falls = (0..12).any(|s| {
+        // 20 streams over 10 s of warm-up at capacity 0.4, times the overload factor 2 over a window of 2 s: 3.2
+        // set-ups, plus a slack of 2.
+        let overloaded = (0..12).any(|s| {
             fleet.begin_setup(0, attempt(s, 0), START + TimeDelta::from_millis(1))
                 == SetupDecision::Overloaded
         });
-        assert_eq!(falls, !warm);
+        assert_eq!(overloaded, !warm);
         assert_eq!(fleet.nodes[&0].process == ProcessState::Down, !warm);
     }
 }
 
 #[test]
-fn an_end_that_comes_first_keeps_the_set_up_from_beginning() {
+fn a_set_up_that_arrives_after_its_end_is_cancelled() {
     let mut fleet = fleet();
     assert!(!fleet.end_session(0, attempt(7, 0)));
     assert_eq!(
