--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins for what a front meets: media nodes, the list of servers, viewers.
+//! Emulated environment of a director: media nodes, endpoint list and viewers.
 //!
 //! [`nodes`], [`list`] and [`viewers`] put the models of `shalewall-fleet-model` on loopback sockets by
-//! `docs/protocol.md`, with faults on demand, and record what passes there.
+//! `docs/protocol.md`, with fault injection, and record what they see there.
 //!
-//! What this crate may know: the protocol and the physics. What it must not: engine, front, decisions; it
-//! meets a front only over sockets. All random numbers come from ChaCha8 with a stated seed.
+//! The crate depends on the protocol and on the fleet model only, not on the engine, the server or their decisions; it
+//! meets a director only over sockets. All random numbers come from ChaCha8 with a given seed.
 
 pub mod list;
 pub mod nodes;
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of servers on a socket: pushed to every front, late, and at times out of reach.
+//! The endpoint list as an HTTP server: changes are pushed to every director with a delay, and outages can be injected.
 
 use crate::recorder::Recorder;
 use async_channel::{Receiver, Sender};
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One line, as it goes over the wire.
+/// Entry of the endpoint list, in its wire format.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct EndpointEntry {
     pub server: u64,
     pub address: String,
     pub zone: String,
@@ -27,182 +27,189 @@
     /// `ready`, `draining` or `gone`.
     pub standing: &'static str,
     pub weight: f64,
-    /// Unix time of its last start, microseconds; absent: long past.
+    /// Unix time of the node's last start in microseconds; absent if the node has been warm from its start.
     pub started: Option<i64>,
 }
 
-type News = (&'static str, Vec<Line>);
+type ListUpdate = (&'static str, Vec<EndpointEntry>);
 
 struct Inner {
-    lines: BTreeMap<u64, Line>,
-    fronts: Vec<Sender<News>>,
-    out: bool,
+    entries: BTreeMap<u64, EndpointEntry>,
+    subscribers: Vec<Sender<ListUpdate>>,
+    is_down: bool,
 }
 
-/// The list; clones are the same one.
+/// Server of the endpoint list; clones share the same list.
 #[derive(Clone)]
-pub struct List {
-    ex: Rc<LocalExecutor<'static>>,
+pub struct EndpointList {
+    executor: Rc<LocalExecutor<'static>>,
     inner: Rc<RefCell<Inner>>,
-    back: Rc<Event>,
+    restored: Rc<Event>,
     recorder: Recorder,
-    late: Duration,
+    delay: Duration,
 }
 
-const BEAT: Duration = Duration::from_millis(500);
+/// Interval at which an idle event stream carries a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-impl List {
-    /// Listens on a free port.
+impl EndpointList {
+    /// Starts the server on a free port.
     pub fn start(
-        ex: Rc<LocalExecutor<'static>>,
+        executor: Rc<LocalExecutor<'static>>,
         recorder: Recorder,
-        late: Duration,
-    ) -> std::io::Result<(List, SocketAddr)> {
+        delay: Duration,
+    ) -> std::io::Result<(EndpointList, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let listener = Async::new(listener)?;
         let inner = Inner {
-            lines: BTreeMap::new(),
-            fronts: Vec::new(),
-            out: false,
+            entries: BTreeMap::new(),
+            subscribers: Vec::new(),
+            is_down: false,
         };
         let inner = Rc::new(RefCell::new(inner));
-        let list = List {
-            ex: ex.clone(),
+        let list = EndpointList {
+            executor: executor.clone(),
             inner,
-            back: Rc::new(Event::new()),
+            restored: Rc::new(Event::new()),
             recorder,
-            late,
+            delay,
         };
         let accepting = list.clone();
-        ex.spawn(async move {
-            let limits = Rc::new(Limits::default());
-            while let Ok((stream, _)) = listener.accept().await {
-                let (list, limits) = (accepting.clone(), limits.clone());
-                let served = async move {
-                    serve(stream, &limits, |request| list.clone().answer(request)).await;
-                };
-                accepting.ex.spawn(served).detach();
-            }
-        })
-        .detach();
+        executor
+            .spawn(async move {
+                let limits = Rc::new(Limits::default());
+                while let Ok((stream, _)) = listener.accept().await {
+                    let (list, limits) = (accepting.clone(), limits.clone());
+                    let served = async move {
+                        serve(stream, &limits, |request| {
+                            list.clone().handle_request(request)
+                        })
+                        .await;
+                    };
+                    accepting.executor.spawn(served).detach();
+                }
+            })
+            .detach();
         Ok((list, address))
     }
 
-    /// A line is new or has changed: known at once here, told after the list's delay.
-    pub fn change(&self, line: Line) {
+    /// Adds or changes an entry after the list's delay.
+    pub fn publish(&self, entry: EndpointEntry) {
         let list = self.clone();
-        let late = self.late;
-        self.ex
+        let delay = self.delay;
+        self.executor
             .spawn(async move {
-                Timer::after(late).await;
-                list.tell(line);
+                Timer::after(delay).await;
+                list.publish_now(entry);
             })
             .detach();
     }
 
-    /// The same without delay: what discovery knew before anything began.
-    pub fn tell(&self, line: Line) {
+    /// Adds or changes an entry without delay, for nodes that are known before the day begins.
+    pub fn publish_now(&self, entry: EndpointEntry) {
         let mut inner = self.inner.borrow_mut();
-        inner.lines.insert(line.server, line.clone());
-        if !inner.out {
+        inner.entries.insert(entry.server, entry.clone());
+        if !inner.is_down {
             inner
-                .fronts
-                .retain(|f| f.try_send(("delta", vec![line.clone()])).is_ok());
+                .subscribers
+                .retain(|f| f.try_send(("delta", vec![entry.clone()])).is_ok());
         }
     }
 
-    /// Out of reach, or back: then everyone is sent the whole list.
-    pub fn out(&self, out: bool) {
+    /// Starts or ends an outage. At its end every subscriber is sent the complete list.
+    pub fn set_outage(&self, is_down: bool) {
         let mut inner = self.inner.borrow_mut();
-        inner.out = out;
-        if !out {
-            let lines: Vec<Line> = inner
-                .lines
+        inner.is_down = is_down;
+        if !is_down {
+            let entries: Vec<EndpointEntry> = inner
+                .entries
                 .values()
                 .filter(|l| l.standing != "gone")
                 .cloned()
                 .collect();
             inner
-                .fronts
-                .retain(|f| f.try_send(("full", lines.clone())).is_ok());
-            self.back.notify(usize::MAX.relaxed());
+                .subscribers
+                .retain(|f| f.try_send(("full", entries.clone())).is_ok());
+            self.restored.notify(usize::MAX.relaxed());
         }
     }
 
-    async fn answer(self, request: Request) -> Reply {
+    async fn handle_request(self, request: Request) -> Reply {
         let head = &request.head;
         let director = head.query("director").and_then(|d| d.parse().ok());
         let ("GET", "/servers", Some(director)) = (head.method.as_str(), head.path(), director)
         else {
             return Reply::problem(404, "GET /servers?director=N is what is known here");
         };
-        self.reachable().await;
-        let (sender, receiver) = async_channel::bounded(1000);
-        let full: Vec<Line> = {
+        self.wait_until_reachable().await;
+        let (sender, updates) = async_channel::bounded(1000);
+        let full: Vec<EndpointEntry> = {
             let mut inner = self.inner.borrow_mut();
-            inner.fronts.push(sender);
+            inner.subscribers.push(sender);
             inner
-                .lines
+                .entries
                 .values()
                 .filter(|l| l.standing != "gone")
                 .cloned()
                 .collect()
         };
-        let first = self.bytes(director, &("full", full));
-        let rest = stream::unfold((self, receiver), move |(list, receiver)| async move {
-            let out = list.next(director, &receiver).await?;
-            Some((out, (list, receiver)))
+        let first = self.encode_event(director, &("full", full));
+        let rest = stream::unfold((self, updates), move |(list, updates)| async move {
+            let event = list.next_event(director, &updates).await?;
+            Some((event, (list, updates)))
         });
         Reply::new(200)
             .with("Content-Type", "text/event-stream")
             .pieces(stream::once(first).chain(rest))
     }
 
-    async fn reachable(&self) {
+    async fn wait_until_reachable(&self) {
         loop {
-            let back = self.back.listen();
-            if !self.inner.borrow().out {
+            let restored = self.restored.listen();
+            if !self.inner.borrow().is_down {
                 return;
             }
-            back.await;
+            restored.await;
         }
     }
 
-    async fn next(&self, director: u32, receiver: &Receiver<News>) -> Option<Vec<u8>> {
+    async fn next_event(&self, director: u32, updates: &Receiver<ListUpdate>) -> Option<Vec<u8>> {
         let beat = async {
-            Timer::after(BEAT).await;
-            self.reachable().await;
+            Timer::after(HEARTBEAT_INTERVAL).await;
+            self.wait_until_reachable().await;
             Some(None)
         };
-        let news = async {
-            let news = receiver.recv().await.ok()?;
-            self.reachable().await;
-            Some(Some(news))
+        let update = async {
+            let update = updates.recv().await.ok()?;
+            self.wait_until_reachable().await;
+            Some(Some(update))
         };
-        let news = future::or(news, beat).await?;
-        Some(news.map_or(sse::BEAT.to_vec(), |news| self.bytes(director, &news)))
+        let update = future::or(update, beat).await?;
+        Some(update.map_or(sse::BEAT.to_vec(), |update| {
+            self.encode_event(director, &update)
+        }))
     }
 
-    /// The event, and the record that this director is told of it now.
-    fn bytes(&self, director: u32, (kind, lines): &News) -> Vec<u8> {
+    /// Encodes an event, and records that the director is notified now.
+    fn encode_event(&self, director: u32, (kind, entries): &ListUpdate) -> Vec<u8> {
         let time = shalewall_clock::now();
-        for line in lines {
-            let (node, standing) = (line.server, line.standing.to_string());
-            self.recorder.note(Record::EndpointNotified {
+        for entry in entries {
+            let (node, standing) = (entry.server, entry.standing.to_string());
+            self.recorder.record(Record::EndpointNotified {
                 time,
                 director,
                 node,
                 standing,
-                node_started: line.started.map(Timestamp::from_micros),
+                node_started: entry.started.map(Timestamp::from_micros),
             });
         }
-        let mut out = Vec::new();
+        let mut event = Vec::new();
         sse::write(
-            &mut out,
+            &mut event,
             kind,
-            &serde_json::to_string(lines).unwrap_or_default(),
+            &serde_json::to_string(entries).unwrap_or_default(),
         );
-        out
+        event
     }
 }
--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -1,7 +1,8 @@
-//! Media nodes on sockets, and what can be done to them. What viewers fetch is in `media`, hand-overs in `moves`.
+//! Emulated media nodes on loopback sockets, with fault injection. Media streams are in `media`, session migration is
+//! in `migration`.
 
 mod media;
-mod moves;
+mod migration;
 
 use crate::recorder::Recorder;
 use async_channel::{Receiver, Sender};
@@ -28,76 +29,81 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A viewer has to fetch its stream so soon after the set-up, or it ends.
-const FETCH_WITHIN: Duration = Duration::from_secs(5);
-/// A front whose event stream is away for longer loses what it holds here.
-const LEASE: Duration = Duration::from_secs(6);
-/// Frames of media, and looks at the fleet, are so far apart.
-const FRAME: Duration = Duration::from_millis(100);
-const BEAT: Duration = Duration::from_millis(500);
-/// Events that wait for one front; more, and its stream is closed: it comes back and compares.
-const MOST_EVENTS: usize = 10_000;
-
-/// What nodes tell, and how late.
+/// Time after a set-up within which the viewer has to open the media stream; otherwise the session ends.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
+/// A director without an event stream for this long loses its sessions at the node.
+const LEASE_DURATION: Duration = Duration::from_secs(6);
+/// Interval of media frames, and of polling the fleet for notifications.
+const FRAME_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which an idle event stream carries a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Events that are queued for one director. Above this its stream is closed; the director reopens it and compares its
+/// sessions with the node's.
+const MAX_QUEUED_EVENTS: usize = 10_000;
+
+/// Settings for the notifications, media and records of all nodes.
 #[derive(Clone, Debug)]
-pub struct Telling {
-    pub every: Duration,
-    pub late: Duration,
-    /// Part of the true rates that sockets carry.
-    pub fraction: f64,
-    /// Opens the tickets of hand-overs; none: nothing is taken over.
-    pub key: Option<TicketKey>,
-    /// Whether loads are noted for the auditor.
-    pub loads: bool,
+pub struct NotificationSettings {
+    /// Interval of utilization notifications; zero disables them.
+    pub interval: Duration,
+    /// Delay of all notifications.
+    pub delay: Duration,
+    /// Fraction of the true rates that is sent on the sockets.
+    pub media_fraction: f64,
+    /// Key of migration tickets; without it nodes accept no migration.
+    pub ticket_key: Option<TicketKey>,
+    /// Whether loads are recorded for the audit.
+    pub record_loads: bool,
 }
 
-struct Socket {
+struct NodeServer {
     address: SocketAddr,
-    /// Accepts and serves; dropped when the process dies.
-    accepts: Option<Task<()>>,
-    /// Told to every connection when the process dies.
+    /// Accepts connections; dropped when the process dies.
+    accept_task: Option<Task<()>>,
+    /// Notified when the process dies.
     died: Rc<Event>,
-    /// Told to everyone who waits on a frozen process.
-    thawed: Rc<Event>,
-    /// Event streams by front.
-    fronts: BTreeMap<u32, Sender<(&'static str, String)>>,
+    /// Notified when a frozen process runs again.
+    resumed: Rc<Event>,
+    /// Event streams by director.
+    event_streams: BTreeMap<u32, Sender<(&'static str, String)>>,
 }
 
 struct Inner {
     fleet: Fleet,
-    sockets: BTreeMap<u64, Socket>,
-    /// Streams that viewers have open of a session: two for a moment, where one is opened again.
-    watched: BTreeMap<(u64, AttemptId), usize>,
-    /// What each node's process knows of hand-overs, and those that it makes ready now.
-    holds: BTreeMap<u64, NodeSessions>,
+    servers: BTreeMap<u64, NodeServer>,
+    /// Number of open media streams of each session: two for a moment when a viewer reopens its stream.
+    open_streams: BTreeMap<(u64, AttemptId), usize>,
+    /// Migration state of each node's process.
+    node_sessions: BTreeMap<u64, NodeSessions>,
+    /// Migrations that are being prepared.
     preparing: BTreeSet<(u64, AttemptId)>,
-    /// Connections that could not be taken.
-    lacked: u64,
+    /// Number of connections that could not be accepted.
+    local_resource_errors: u64,
 }
 
 impl Inner {
-    /// Sessions that play at a node for a front.
-    fn held_for(&self, id: u64, director: u32) -> Vec<AttemptId> {
+    /// Sessions of a director that play at a node.
+    fn sessions_of(&self, node_id: u64, director: u32) -> Vec<AttemptId> {
         let playing = self
             .fleet
             .nodes
-            .get(&id)
+            .get(&node_id)
             .into_iter()
             .flat_map(|n| &n.playing);
         playing
             .filter(|(_, p)| p.director == director)
-            .map(|(run, _)| *run)
+            .map(|(attempt_id, _)| *attempt_id)
             .collect()
     }
 }
 
-/// All nodes of a run, in one process and on one thread.
+/// All nodes of an emulation, in one process and on one thread; clones share their state.
 #[derive(Clone)]
 pub struct Nodes {
-    ex: Rc<LocalExecutor<'static>>,
+    executor: Rc<LocalExecutor<'static>>,
     inner: Rc<RefCell<Inner>>,
     recorder: Recorder,
-    telling: Rc<Telling>,
+    settings: Rc<NotificationSettings>,
     limits: Rc<Limits>,
 }
 
@@ -114,7 +120,7 @@
 }
 
 impl SetUp {
-    fn playing(self) -> ActiveSession {
+    fn into_session(self) -> ActiveSession {
         let SetUp {
             director,
             viewer,
@@ -138,47 +144,48 @@
 }
 
 #[derive(Deserialize)]
-struct NewRung {
+struct RungChange {
     rung: usize,
     kb: f64,
 }
 
-/// Records a set-up that is dropped before it is answered: its front closed the connection, or the node died.
-struct Pending {
+/// Set-up in progress. Records it as abandoned when it is dropped without a response, because the director closed the
+/// connection or the node died.
+struct PendingSetUp {
     nodes: Nodes,
     node: u64,
-    run: AttemptId,
+    attempt_id: AttemptId,
     armed: bool,
-    counted: bool,
+    holds_stream: bool,
 }
 
-impl Pending {
-    fn over(&mut self, ran: SetUpOutcome) {
+impl PendingSetUp {
+    fn finish(&mut self, outcome: SetUpOutcome) {
         self.armed = false;
-        let AttemptId { session, attempt } = self.run;
-        self.nodes.recorder.note(Record::SetUpFinished {
+        let AttemptId { session, attempt } = self.attempt_id;
+        self.nodes.recorder.record(Record::SetUpFinished {
             time: shalewall_clock::now(),
             node: self.node,
             session,
             attempt,
-            outcome: ran,
+            outcome,
         });
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingSetUp {
     fn drop(&mut self) {
         if self.armed {
-            self.over(SetUpOutcome::Abandoned);
-            if self.counted {
+            self.finish(SetUpOutcome::Abandoned);
+            if self.holds_stream {
                 self.nodes.inner.borrow_mut().fleet.abandon_setup(self.node);
             }
         }
     }
 }
 
-/// `/sessions/{id}/{attempt}` or what a start line of one says, even if it is cut behind that.
-fn run_of(target: &str) -> Option<AttemptId> {
+/// Parses the attempt from a target `/sessions/{id}/{attempt}`, also in an incomplete request line.
+fn parse_attempt_id(target: &str) -> Option<AttemptId> {
     let mut parts = target.strip_prefix("/sessions/")?.split('/');
     Some(AttemptId {
         session: parts.next()?.parse().ok()?,
@@ -188,40 +195,43 @@
 
 impl Nodes {
     pub fn new(
-        ex: Rc<LocalExecutor<'static>>,
+        executor: Rc<LocalExecutor<'static>>,
         fleet: Fleet,
         recorder: Recorder,
-        telling: Telling,
+        settings: NotificationSettings,
     ) -> Nodes {
-        let (sockets, watched, holds) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (servers, open_streams, node_sessions) =
+            (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let inner = Inner {
             fleet,
-            sockets,
-            watched,
-            holds,
+            servers,
+            open_streams,
+            node_sessions,
             preparing: BTreeSet::new(),
-            lacked: 0,
+            local_resource_errors: 0,
         };
         let nodes = Nodes {
-            ex: ex.clone(),
+            executor: executor.clone(),
             inner: Rc::new(RefCell::new(inner)),
             recorder,
-            telling: Rc::new(telling),
+            settings: Rc::new(settings),
             limits: Rc::new(Limits::default()),
         };
-        ex.spawn(nodes.clone().tell()).detach();
-        if nodes.telling.loads {
-            ex.spawn(nodes.clone().note_loads()).detach();
+        executor.spawn(nodes.clone().send_notifications()).detach();
+        if nodes.settings.record_loads {
+            executor
+                .spawn(nodes.clone().record_loads_periodically())
+                .detach();
         }
         nodes
     }
 
-    // ---- what can be done to them -----------------------------------------------------------
+    // ---- processes and faults ---------------------------------------------------------------
 
-    /// Brings a machine up and gives its address; the same as before where it had one.
+    /// Starts the node's process and returns its address, which stays the same when it is restarted.
     pub fn start(&self, machine: Machine, warm: bool) -> std::io::Result<SocketAddr> {
-        let (id, places, cell) = (machine.id, machine.stream_capacity, Some(machine.cell));
-        let before = self.inner.borrow().sockets.get(&id).map(|s| s.address);
+        let (node_id, places, cell) = (machine.id, machine.stream_capacity, Some(machine.cell));
+        let before = self.inner.borrow().servers.get(&node_id).map(|s| s.address);
         let listener = TcpListener::bind(before.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))))?;
         let address = listener.local_addr()?;
         let listener = Async::new(listener)?;
@@ -232,135 +242,136 @@
             .start(machine, Timestamp::from_micros(now), warm);
         self.inner
             .borrow_mut()
-            .holds
-            .insert(id, NodeSessions::new((now / 1000) as u64));
-        self.recorder.note(Record::NodeStarted {
+            .node_sessions
+            .insert(node_id, NodeSessions::new((now / 1000) as u64));
+        self.recorder.record(Record::NodeStarted {
             time: Timestamp::from_micros(now),
-            node: id,
+            node: node_id,
             places,
             warm,
             cell,
         });
-        let (died, thawed) = (Rc::new(Event::new()), Rc::new(Event::new()));
+        let (died, resumed) = (Rc::new(Event::new()), Rc::new(Event::new()));
         let accepting = self
-            .ex
-            .spawn(self.clone().accept(id, listener, died.clone()));
-        let socket = Socket {
+            .executor
+            .spawn(self.clone().accept(node_id, listener, died.clone()));
+        let server = NodeServer {
             address,
-            accepts: Some(accepting),
+            accept_task: Some(accepting),
             died,
-            thawed,
-            fronts: BTreeMap::new(),
+            resumed,
+            event_streams: BTreeMap::new(),
         };
-        self.inner.borrow_mut().sockets.insert(id, socket);
+        self.inner.borrow_mut().servers.insert(node_id, server);
         Ok(address)
     }
 
-    /// The process dies: connections are reset, new ones refused, sessions lost.
-    pub fn crash(&self, id: u64) {
+    /// Crashes the process: its connections are reset, new ones are refused, and its sessions are lost.
+    pub fn crash(&self, node_id: u64) {
         let overloaded = self
             .inner
             .borrow()
             .fleet
             .nodes
-            .get(&id)
+            .get(&node_id)
             .is_some_and(|n| n.fell_over);
         let mut inner = self.inner.borrow_mut();
-        if let Some(socket) = inner.sockets.get_mut(&id) {
-            if socket.accepts.take().is_none() {
+        if let Some(server) = inner.servers.get_mut(&node_id) {
+            if server.accept_task.take().is_none() {
                 return;
             }
-            socket.fronts.clear();
-            socket.died.notify(usize::MAX.relaxed());
+            server.event_streams.clear();
+            server.died.notify(usize::MAX.relaxed());
         }
-        if let Some(node) = inner.fleet.nodes.get_mut(&id) {
+        if let Some(node) = inner.fleet.nodes.get_mut(&node_id) {
             node.process = ProcessState::Down;
             node.playing.clear();
         }
         drop(inner);
-        self.recorder.note(Record::NodeStopped {
+        self.recorder.record(Record::NodeStopped {
             time: shalewall_clock::now(),
-            node: id,
+            node: node_id,
             overloaded,
         });
     }
 
-    /// The process stands still; connections stay, nothing is answered.
-    pub fn freeze(&self, id: u64) {
-        if let Some(node) = self.inner.borrow_mut().fleet.nodes.get_mut(&id)
+    /// Suspends the process: its connections stay open, but it does not respond.
+    pub fn freeze(&self, node_id: u64) {
+        if let Some(node) = self.inner.borrow_mut().fleet.nodes.get_mut(&node_id)
             && node.process == ProcessState::Running
         {
             node.process = ProcessState::Frozen;
-            self.recorder.note(Record::NodeFrozen {
+            self.recorder.record(Record::NodeFrozen {
                 time: shalewall_clock::now(),
-                node: id,
+                node: node_id,
             });
         }
     }
 
-    pub fn thaw(&self, id: u64) {
+    /// Resumes a frozen process.
+    pub fn resume(&self, node_id: u64) {
         let mut inner = self.inner.borrow_mut();
-        if let Some(node) = inner.fleet.nodes.get_mut(&id)
+        if let Some(node) = inner.fleet.nodes.get_mut(&node_id)
             && node.process == ProcessState::Frozen
         {
             node.process = ProcessState::Running;
-            self.recorder.note(Record::NodeResumed {
+            self.recorder.record(Record::NodeResumed {
                 time: shalewall_clock::now(),
-                node: id,
+                node: node_id,
             });
         }
-        if let Some(socket) = inner.sockets.get(&id) {
-            socket.thawed.notify(usize::MAX.relaxed());
+        if let Some(server) = inner.servers.get(&node_id) {
+            server.resumed.notify(usize::MAX.relaxed());
         }
     }
 
-    /// Changes the fleet itself: neighbours, slow links, ageing.
-    pub fn change(&self, work: impl FnOnce(&mut Fleet)) {
-        work(&mut self.inner.borrow_mut().fleet);
+    /// Changes the state of the fleet model, for faults such as competing loads and slow links.
+    pub fn modify_fleet(&self, change: impl FnOnce(&mut Fleet)) {
+        change(&mut self.inner.borrow_mut().fleet);
     }
 
-    /// Nodes that run, by id.
+    /// Ids of the running nodes.
     pub fn running(&self) -> Vec<u64> {
         let inner = self.inner.borrow();
-        let runs = inner
+        let running = inner
             .fleet
             .nodes
             .values()
             .filter(|n| n.process == ProcessState::Running);
-        runs.map(|n| n.machine.id).collect()
+        running.map(|n| n.machine.id).collect()
     }
 
-    pub fn machine(&self, id: u64) -> Option<Machine> {
+    pub fn machine(&self, node_id: u64) -> Option<Machine> {
         self.inner
             .borrow()
             .fleet
             .nodes
-            .get(&id)
+            .get(&node_id)
             .map(|n| n.machine.clone())
     }
 
-    pub fn address(&self, id: u64) -> Option<SocketAddr> {
-        self.inner.borrow().sockets.get(&id).map(|s| s.address)
+    pub fn address(&self, node_id: u64) -> Option<SocketAddr> {
+        self.inner.borrow().servers.get(&node_id).map(|s| s.address)
     }
 
-    /// When its process began; none while it is down.
-    pub fn up_since(&self, id: u64) -> Option<(i64, bool)> {
+    /// Start time of a node's process in microseconds, and whether it started warm; `None` if it is down.
+    pub fn up_since(&self, node_id: u64) -> Option<(i64, bool)> {
         let inner = self.inner.borrow();
         let node = inner
             .fleet
             .nodes
-            .get(&id)
+            .get(&node_id)
             .filter(|n| n.process != ProcessState::Down)?;
         Some((node.started_at.as_micros(), node.started_warm))
     }
 
-    /// Connections that could not be taken for want of something of this machine's own.
-    pub fn lacked(&self) -> u64 {
-        self.inner.borrow().lacked
+    /// Number of connections that could not be accepted because this process ran out of descriptors.
+    pub fn local_resource_errors(&self) -> u64 {
+        self.inner.borrow().local_resource_errors
     }
 
-    /// Sessions that play now, over all nodes.
-    pub fn playing(&self) -> usize {
+    /// Number of playing sessions at all nodes.
+    pub fn session_count(&self) -> usize {
         self.inner
             .borrow()
             .fleet
@@ -372,48 +383,49 @@
 
     // ---- connections ------------------------------------------------------------------------
 
-    async fn accept(self, id: u64, listener: Async<TcpListener>, died: Rc<Event>) {
+    async fn accept(self, node_id: u64, listener: Async<TcpListener>, died: Rc<Event>) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of descriptors: this process's own fault, and it passes.
-                self.inner.borrow_mut().lacked += 1;
+                // This process is out of descriptors; that is temporary.
+                self.inner.borrow_mut().local_resource_errors += 1;
                 Timer::after(Duration::from_millis(50)).await;
                 continue;
             };
             let _ = stream.get_ref().set_nodelay(true);
-            self.ex
-                .spawn(self.clone().connection(id, stream, died.clone()))
+            self.executor
+                .spawn(self.clone().serve_connection(node_id, stream, died.clone()))
                 .detach();
         }
     }
 
-    async fn connection(self, id: u64, stream: Async<TcpStream>, died: Rc<Event>) {
+    async fn serve_connection(self, node_id: u64, stream: Async<TcpStream>, died: Rc<Event>) {
         let nodes = self.clone();
         let stream = Rc::new(stream);
-        // Listens from the start: a request may be what kills the process, in its first turn.
-        let dies = died.listen();
-        let handle = move |request| nodes.clone().answer(id, request);
+        // Registered before the first request is served, because that request may crash the process.
+        let crash_listener = died.listen();
+        let handle = move |request| nodes.clone().handle_request(node_id, request);
         let served = async {
             let mut borrowed = &*stream;
             Some(serve(&mut borrowed, &self.limits, handle).await)
         };
         let death = async {
-            dies.await;
+            crash_listener.await;
             None
         };
         match future::or(served, death).await {
             None => {
-                // A process that dies resets its connections.
+                // A crashed process resets its connections.
                 let _ = set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
             }
             Some(Ended::Cut(bytes)) => {
                 let text = String::from_utf8_lossy(&bytes);
-                let run = text.split(' ').nth(1).and_then(run_of);
+                let attempt_id = text.split(' ').nth(1).and_then(parse_attempt_id);
                 let (time, bytes) = (shalewall_clock::now(), bytes.len());
-                let (session, attempt) = (run.map(|r| r.session), run.map(|r| r.attempt));
-                self.recorder.note(Record::PartialRequest {
+                let (session, attempt) =
+                    (attempt_id.map(|r| r.session), attempt_id.map(|r| r.attempt));
+                self.recorder.record(Record::PartialRequest {
                     time,
-                    node: id,
+                    node: node_id,
                     bytes,
                     session,
                     attempt,
@@ -423,18 +435,18 @@
         }
     }
 
-    /// Waits while the process stands still.
-    async fn awake(&self, id: u64) {
+    /// Waits while the process is frozen.
+    async fn wait_until_running(&self, node_id: u64) {
         loop {
             let listener = {
                 let inner = self.inner.borrow();
                 let frozen = inner
                     .fleet
                     .nodes
-                    .get(&id)
+                    .get(&node_id)
                     .is_some_and(|n| n.process == ProcessState::Frozen);
-                match inner.sockets.get(&id) {
-                    Some(socket) if frozen => socket.thawed.listen(),
+                match inner.servers.get(&node_id) {
+                    Some(server) if frozen => server.resumed.listen(),
                     _ => return,
                 }
             };
@@ -442,65 +454,65 @@
         }
     }
 
-    /// An answer with the load figures that every answer carries.
-    fn with_load(&self, id: u64, reply: Reply) -> Reply {
-        let f = self.inner.borrow().fleet.reported_load(id);
+    /// Adds the load header that every response carries.
+    fn with_load(&self, node_id: u64, reply: Reply) -> Reply {
+        let load = self.inner.borrow().fleet.reported_load(node_id);
         reply.with(
             "Shalewall-Load",
             format!(
                 "streams={}, link={:.4}, uplink={:.4}",
-                f.streams, f.link, f.uplink
+                load.streams, load.link, load.uplink
             ),
         )
     }
 
-    async fn answer(self, id: u64, request: Request) -> Reply {
+    async fn handle_request(self, node_id: u64, request: Request) -> Reply {
         let head = &request.head;
-        let run = run_of(head.path());
-        match (head.method.as_str(), head.path(), run) {
-            ("PUT", _, Some(run)) => self.set_up(id, run, &request.body).await,
-            ("PATCH", _, Some(run)) => {
-                self.awake(id).await;
-                let Ok(new) = serde_json::from_slice::<NewRung>(&request.body) else {
+        let attempt_id = parse_attempt_id(head.path());
+        match (head.method.as_str(), head.path(), attempt_id) {
+            ("PUT", _, Some(attempt_id)) => self.set_up(node_id, attempt_id, &request.body).await,
+            ("PATCH", _, Some(attempt_id)) => {
+                self.wait_until_running(node_id).await;
+                let Ok(new) = serde_json::from_slice::<RungChange>(&request.body) else {
                     return Reply::problem(422, "rung and kb are needed");
                 };
                 let found = self
                     .inner
                     .borrow_mut()
                     .fleet
-                    .set_rung(id, run, new.rung, new.kb);
+                    .set_rung(node_id, attempt_id, new.rung, new.kb);
                 if !found {
                     return Reply::problem(404, "no such session here");
                 }
                 let time = shalewall_clock::now();
-                self.recorder.note(Record::RungChanged {
+                self.recorder.record(Record::RungChanged {
                     time,
-                    node: id,
-                    session: run.session,
+                    node: node_id,
+                    session: attempt_id.session,
                     rung: new.rung,
                 });
-                self.with_load(id, Reply::new(204))
+                self.with_load(node_id, Reply::new(204))
             }
             ("PUT" | "DELETE", path, _) if path.starts_with("/moves/") => {
-                self.hand_over(id, request).await
+                self.handle_migration(node_id, request).await
             }
-            ("DELETE", _, Some(run)) => {
+            ("DELETE", _, Some(attempt_id)) => {
                 let upto = head.query("upto").and_then(|e| e.parse().ok()).map(Epoch);
-                self.awake(id).await;
-                let played = self.release(id, run, upto);
-                self.with_load(id, Reply::new(if played { 204 } else { 404 }))
+                self.wait_until_running(node_id).await;
+                let played = self.release(node_id, attempt_id, upto);
+                self.with_load(node_id, Reply::new(if played { 204 } else { 404 }))
             }
             ("GET", "/probe", _) => {
-                self.awake(id).await;
-                self.with_load(id, Reply::new(204))
+                self.wait_until_running(node_id).await;
+                self.with_load(node_id, Reply::new(204))
             }
             ("GET", "/events", _) => match head.query("director").and_then(|d| d.parse().ok()) {
-                Some(director) => self.events(id, director).await,
+                Some(director) => self.open_event_stream(node_id, director).await,
                 None => Reply::problem(400, "the director's number is needed"),
             },
-            ("GET", path, Some(run)) if path.ends_with("/media") => {
-                match media::Wanted::of(&request.head) {
-                    Ok(wanted) => self.media(id, run, wanted).await,
+            ("GET", path, Some(attempt_id)) if path.ends_with("/media") => {
+                match media::MediaRequest::parse(&request.head) {
+                    Ok(media_request) => self.media(node_id, attempt_id, media_request).await,
                     Err(what) => Reply::problem(400, what),
                 }
             }
@@ -509,129 +521,146 @@
         }
     }
 
-    async fn set_up(self, id: u64, run: AttemptId, body: &[u8]) -> Reply {
+    async fn set_up(self, node_id: u64, attempt_id: AttemptId, body: &[u8]) -> Reply {
         let Ok(new) = serde_json::from_slice::<SetUp>(body) else {
             return Reply::problem(422, "director, class, title, rung and kb are needed");
         };
         let now = shalewall_clock::now().as_micros();
-        self.recorder.note(Record::SetUpReceived {
+        self.recorder.record(Record::SetUpReceived {
             time: Timestamp::from_micros(now),
-            node: id,
+            node: node_id,
             director: new.director,
-            session: run.session,
-            attempt: run.attempt,
+            session: attempt_id.session,
+            attempt: attempt_id.attempt,
             tenant: new.tenant.clone(),
             class: new.class.clone(),
             title: new.title.clone(),
             rung: new.rung,
         });
-        let mut pending = Pending {
+        let mut pending = PendingSetUp {
             nodes: self.clone(),
-            node: id,
-            run,
+            node: node_id,
+            attempt_id,
             armed: true,
-            counted: false,
+            holds_stream: false,
         };
         let never_ran =
             |status, what| Reply::problem(status, what).with("Shalewall-Never-Ran", "yes");
-        let arrival =
-            self.inner
-                .borrow_mut()
-                .fleet
-                .begin_setup(id, run, Timestamp::from_micros(now));
-        match arrival {
+        let decision = self.inner.borrow_mut().fleet.begin_setup(
+            node_id,
+            attempt_id,
+            Timestamp::from_micros(now),
+        );
+        match decision {
             SetupDecision::Overloaded => {
-                self.crash(id);
+                self.crash(node_id);
                 future::pending().await
             }
             SetupDecision::Cancelled => {
-                self.awake(id).await;
-                pending.over(SetUpOutcome::Cancelled);
-                self.with_load(id, never_ran(410, "ended before it began"))
+                self.wait_until_running(node_id).await;
+                pending.finish(SetUpOutcome::Cancelled);
+                self.with_load(node_id, never_ran(410, "ended before it began"))
             }
             SetupDecision::Rejected => {
-                self.awake(id).await;
-                pending.over(SetUpOutcome::Rejected);
-                self.with_load(id, never_ran(503, "no place"))
+                self.wait_until_running(node_id).await;
+                pending.finish(SetUpOutcome::Rejected);
+                self.with_load(node_id, never_ran(503, "no place"))
             }
             SetupDecision::Accepted(time) => {
-                pending.counted = true;
+                pending.holds_stream = true;
                 Timer::after(Duration::from_micros(time.as_micros().max(0) as u64)).await;
-                self.awake(id).await;
-                pending.counted = false;
+                self.wait_until_running(node_id).await;
+                pending.holds_stream = false;
                 let rung = new.rung;
-                if !self
-                    .inner
-                    .borrow_mut()
-                    .fleet
-                    .complete_setup(id, run, new.playing())
-                {
-                    pending.over(SetUpOutcome::Cancelled);
-                    return self.with_load(id, never_ran(410, "ended before it began"));
+                if !self.inner.borrow_mut().fleet.complete_setup(
+                    node_id,
+                    attempt_id,
+                    new.into_session(),
+                ) {
+                    pending.finish(SetUpOutcome::Cancelled);
+                    return self.with_load(node_id, never_ran(410, "ended before it began"));
                 }
-                pending.over(SetUpOutcome::Playing);
-                if let Some(holds) = self.inner.borrow_mut().holds.get_mut(&id) {
-                    holds.set_up(SessionId(run.session));
+                pending.finish(SetUpOutcome::Playing);
+                if let Some(node_sessions) = self.inner.borrow_mut().node_sessions.get_mut(&node_id)
+                {
+                    node_sessions.set_up(SessionId(attempt_id.session));
                 }
-                self.ex.spawn(self.clone().unfetched(id, run)).detach();
-                let media = self.media_of(id, run);
+                self.executor
+                    .spawn(self.clone().expire_unfetched(node_id, attempt_id))
+                    .detach();
+                let media = self.media_url(node_id, attempt_id);
                 let text = serde_json::json!({ "media": media, "rung": rung }).to_string();
-                self.with_load(id, Reply::json(201, text))
+                self.with_load(node_id, Reply::json(201, text))
             }
         }
     }
 
-    fn media_of(&self, id: u64, run: AttemptId) -> String {
-        let address = self.address(id).map_or(String::new(), |a| a.to_string());
+    fn media_url(&self, node_id: u64, attempt_id: AttemptId) -> String {
+        let address = self
+            .address(node_id)
+            .map_or(String::new(), |a| a.to_string());
         format!(
             "http://{address}/sessions/{}/{}/media",
-            run.session, run.attempt
+            attempt_id.session, attempt_id.attempt
         )
     }
 
-    /// A session that nobody fetches ends.
-    async fn unfetched(self, id: u64, run: AttemptId) {
-        Timer::after(FETCH_WITHIN).await;
-        if !self.inner.borrow().watched.contains_key(&(id, run)) {
-            self.end_here(id, run);
+    /// Ends a session whose media stream no viewer opened in time.
+    async fn expire_unfetched(self, node_id: u64, attempt_id: AttemptId) {
+        Timer::after(FETCH_TIMEOUT).await;
+        if !self
+            .inner
+            .borrow()
+            .open_streams
+            .contains_key(&(node_id, attempt_id))
+        {
+            self.terminate_session(node_id, attempt_id);
         }
     }
 
-    /// Ends a session at its node and tells its front.
-    fn end_here(&self, id: u64, run: AttemptId) {
+    /// Ends a session from the node's side, and notifies its director.
+    fn terminate_session(&self, node_id: u64, attempt_id: AttemptId) {
         let director = {
             let mut inner = self.inner.borrow_mut();
-            let playing = inner.fleet.nodes.get(&id).and_then(|n| n.playing.get(&run));
+            let playing = inner
+                .fleet
+                .nodes
+                .get(&node_id)
+                .and_then(|n| n.playing.get(&attempt_id));
             let Some(director) = playing.map(|p| p.director) else {
                 return;
             };
-            inner.fleet.end_session(id, run);
-            // It may be handed back to this node later, under a later epoch.
-            let held = inner
-                .holds
-                .get(&id)
-                .map(|h| h.epochs(SessionId(run.session)))
+            inner.fleet.end_session(node_id, attempt_id);
+            // Released up to its present epoch only: it may migrate back to this node under a later one.
+            let epochs = inner
+                .node_sessions
+                .get(&node_id)
+                .map(|h| h.epochs(SessionId(attempt_id.session)))
                 .unwrap_or_default();
-            let (holds, upto) = (inner.holds.get_mut(&id), held.serving.max(held.prepared));
-            holds
+            let (node_sessions, upto) = (
+                inner.node_sessions.get_mut(&node_id),
+                epochs.serving.max(epochs.prepared),
+            );
+            node_sessions
                 .zip(upto)
                 .into_iter()
-                .for_each(|(h, upto)| h.release(SessionId(run.session), upto));
+                .for_each(|(h, upto)| h.release(SessionId(attempt_id.session), upto));
             director
         };
-        self.over(id, run);
-        self.say(
-            id,
+        self.record_session_end(node_id, attempt_id);
+        self.send_event(
+            node_id,
             director,
             "ended",
-            serde_json::json!({ "session": run.session, "attempt": run.attempt }).to_string(),
+            serde_json::json!({ "session": attempt_id.session, "attempt": attempt_id.attempt })
+                .to_string(),
         );
     }
 
-    fn over(&self, id: u64, AttemptId { session, attempt }: AttemptId) {
-        self.recorder.note(Record::SessionEnded {
+    fn record_session_end(&self, node_id: u64, AttemptId { session, attempt }: AttemptId) {
+        self.recorder.record(Record::SessionEnded {
             time: shalewall_clock::now(),
-            node: id,
+            node: node_id,
             session,
             attempt,
         });
@@ -639,53 +668,57 @@
 
     // ---- events -----------------------------------------------------------------------------
 
-    fn say(&self, id: u64, director: u32, kind: &'static str, data: String) {
+    fn send_event(&self, node_id: u64, director: u32, kind: &'static str, data: String) {
         let mut inner = self.inner.borrow_mut();
-        let Some(socket) = inner.sockets.get_mut(&id) else {
+        let Some(server) = inner.servers.get_mut(&node_id) else {
             return;
         };
-        let sent = socket
-            .fronts
+        let sent = server
+            .event_streams
             .get(&director)
-            .map(|s| s.len() < MOST_EVENTS && s.try_send((kind, data)).is_ok());
+            .map(|s| s.len() < MAX_QUEUED_EVENTS && s.try_send((kind, data)).is_ok());
         if sent == Some(false) {
-            socket.fronts.remove(&director);
+            server.event_streams.remove(&director);
         }
     }
 
-    async fn events(self, id: u64, director: u32) -> Reply {
-        self.awake(id).await;
-        // A bounded channel takes its whole room at once, for each stream.
+    async fn open_event_stream(self, node_id: u64, director: u32) -> Reply {
+        self.wait_until_running(node_id).await;
+        // A bounded channel would allocate its whole capacity for each stream.
         let (sender, receiver) = async_channel::unbounded();
-        let held = {
+        let sessions = {
             let mut inner = self.inner.borrow_mut();
-            if let Some(socket) = inner.sockets.get_mut(&id) {
-                socket.fronts.insert(director, sender);
+            if let Some(server) = inner.servers.get_mut(&node_id) {
+                server.event_streams.insert(director, sender);
             }
-            inner.held_for(id, director)
+            inner.sessions_of(node_id, director)
         };
-        let held: Vec<_> = held
+        let descriptions: Vec<_> = sessions
             .into_iter()
-            .filter_map(|run| self.held_as_told(id, run))
+            .filter_map(|attempt_id| self.session_description(node_id, attempt_id))
             .collect();
         let mut first = Vec::new();
-        sse::write(&mut first, "held", &serde_json::json!(held).to_string());
+        sse::write(
+            &mut first,
+            "held",
+            &serde_json::json!(descriptions).to_string(),
+        );
         let lease = Lease {
             nodes: self.clone(),
-            id,
+            node_id,
             director,
             receiver: receiver.clone(),
         };
         let rest = stream::unfold(lease, |lease| async {
-            lease.nodes.awake(lease.id).await;
+            lease.nodes.wait_until_running(lease.node_id).await;
             let beat = async {
-                Timer::after(BEAT).await;
-                lease.nodes.awake(lease.id).await;
+                Timer::after(HEARTBEAT_INTERVAL).await;
+                lease.nodes.wait_until_running(lease.node_id).await;
                 Some(sse::BEAT.to_vec())
             };
             let next = async {
                 let (kind, data) = lease.receiver.recv().await.ok()?;
-                lease.nodes.awake(lease.id).await;
+                lease.nodes.wait_until_running(lease.node_id).await;
                 let mut out = Vec::new();
                 sse::write(&mut out, kind, &data);
                 Some(out)
@@ -697,43 +730,49 @@
             .pieces(stream::once(first).chain(rest))
     }
 
-    /// Without an event stream for the lease, a front's sessions end: it is gone.
-    async fn lapse(self, id: u64, director: u32) {
-        Timer::after(LEASE).await;
-        self.awake(id).await;
-        let runs: Vec<AttemptId> = {
+    /// Ends the sessions of a director that had no event stream during the lease.
+    async fn expire_lease(self, node_id: u64, director: u32) {
+        Timer::after(LEASE_DURATION).await;
+        self.wait_until_running(node_id).await;
+        let sessions: Vec<AttemptId> = {
             let inner = self.inner.borrow();
-            let open = inner.sockets.get(&id).and_then(|s| s.fronts.get(&director));
+            let open = inner
+                .servers
+                .get(&node_id)
+                .and_then(|s| s.event_streams.get(&director));
             if open.is_some_and(|s| !s.is_closed()) {
                 return;
             }
-            inner.held_for(id, director)
+            inner.sessions_of(node_id, director)
         };
-        runs.into_iter().for_each(|run| self.end_here(id, run));
+        sessions
+            .into_iter()
+            .for_each(|attempt_id| self.terminate_session(node_id, attempt_id));
     }
 
-    /// Looks at the fleet and tells fronts what there is to tell.
-    async fn tell(self) {
-        let mut teller = Notifier::new(
-            TimeDelta::from_micros(self.telling.every.as_micros() as i64),
-            TimeDelta::from_micros(self.telling.late.as_micros() as i64),
+    /// Polls the fleet and sends the notifications that are due.
+    async fn send_notifications(self) {
+        let mut notifier = Notifier::new(
+            TimeDelta::from_micros(self.settings.interval.as_micros() as i64),
+            TimeDelta::from_micros(self.settings.delay.as_micros() as i64),
         );
         loop {
-            Timer::after(FRAME).await;
-            let news = teller.poll(&mut self.inner.borrow_mut().fleet, shalewall_clock::now());
-            for n in news {
-                let note = serde_json::json!({ "session": n.session, "delivered": n.delivered,
+            Timer::after(FRAME_INTERVAL).await;
+            let notifications =
+                notifier.poll(&mut self.inner.borrow_mut().fleet, shalewall_clock::now());
+            for n in notifications {
+                let load = serde_json::json!({ "session": n.session, "delivered": n.delivered,
                     "link": n.link, "uplink": n.uplink });
-                self.say(n.node, n.director, "figures", note.to_string());
+                self.send_event(n.node, n.director, "figures", load.to_string());
             }
         }
     }
 }
 
-/// Held by an event stream; when it goes, the front's lease begins to run.
+/// Owned by an event stream; the director's lease starts to expire when it is dropped.
 struct Lease {
     nodes: Nodes,
-    id: u64,
+    node_id: u64,
     director: u32,
     receiver: Receiver<(&'static str, String)>,
 }
@@ -742,8 +781,8 @@
     fn drop(&mut self) {
         self.receiver.close();
         self.nodes
-            .ex
-            .spawn(self.nodes.clone().lapse(self.id, self.director))
+            .executor
+            .spawn(self.nodes.clone().expire_lease(self.node_id, self.director))
             .detach();
     }
 }
--- a/crates/emulator/src/nodes/media.rs
+++ b/crates/emulator/src/nodes/media.rs
@@ -1,6 +1,6 @@
-//! What viewers fetch: frames as `docs/protocol.md` has them, at the rate that the links give.
+//! Media streams of viewers: frames in the format of `docs/protocol.md`, at the rate that the links deliver.
 
-use super::{FRAME, Nodes};
+use super::{FRAME_INTERVAL, Nodes};
 use async_io::Timer;
 use futures_lite::stream;
 use shalewall::SessionId;
@@ -9,19 +9,19 @@
 use shalewall_http::server::Reply;
 use shalewall_migration::Epoch;
 
-/// A stream that is behind where it should be catches up at so many times its rate, where the link is not full.
-const CATCH_UP: f64 = 3.0;
+/// Factor of its rate at which a stream that is behind its schedule catches up, if the link is not full.
+const MAX_CATCH_UP_RATE: f64 = 3.0;
 
-/// What is asked for of a session's media.
-pub(super) struct Wanted {
+/// Query parameters of a media request.
+pub(super) struct MediaRequest {
     epoch: Option<Epoch>,
-    /// From which position on, how far ahead of real time, and whether nothing is there before it happens. In
-    /// milliseconds; those of a live title are unix time.
-    place: Option<(f64, f64, bool)>,
+    /// Start position and lead over real time in milliseconds, and whether the title is live: its positions are Unix
+    /// time, and media of the future does not exist yet.
+    playback_range: Option<(f64, f64, bool)>,
 }
 
-impl Wanted {
-    pub fn of(head: &RequestHead) -> Result<Wanted, &'static str> {
+impl MediaRequest {
+    pub fn parse(head: &RequestHead) -> Result<MediaRequest, &'static str> {
         let number = |name| match head.query(name) {
             None => Ok(None),
             Some(text) => match text.parse::<f64>() {
@@ -30,83 +30,100 @@
             },
         };
         let live = head.query("live") == Some("1");
-        let ahead = number("ahead")?.unwrap_or(0.0);
-        Ok(Wanted {
+        let lead_ms = number("ahead")?.unwrap_or(0.0);
+        Ok(MediaRequest {
             epoch: number("epoch")?.map(|e| Epoch(e as u32)),
-            place: number("from")?.map(|from| (from, ahead, live)),
+            playback_range: number("from")?.map(|start_ms| (start_ms, lead_ms, live)),
         })
     }
 }
 
-/// Where a stream with positions is.
-struct Paced {
-    viewer: Watched,
-    opened: i64,
-    last: i64,
-    from: f64,
-    ahead: f64,
+/// A stream of frames with positions.
+struct PacedStream {
+    viewer: ViewerStream,
+    opened_us: i64,
+    last_frame_us: i64,
+    start_ms: f64,
+    lead_ms: f64,
     live: bool,
-    at: f64,
+    position_ms: f64,
 }
 
 impl Nodes {
-    pub(super) async fn media(self, id: u64, run: AttemptId, wanted: Wanted) -> Reply {
-        self.awake(id).await;
-        let told = {
+    pub(super) async fn media(
+        self,
+        node_id: u64,
+        attempt_id: AttemptId,
+        request: MediaRequest,
+    ) -> Reply {
+        self.wait_until_running(node_id).await;
+        let migrated = {
             let mut inner = self.inner.borrow_mut();
-            let Some(playing) = inner.fleet.nodes.get(&id).and_then(|n| n.playing.get(&run)) else {
+            let Some(playing) = inner
+                .fleet
+                .nodes
+                .get(&node_id)
+                .and_then(|n| n.playing.get(&attempt_id))
+            else {
                 return Reply::problem(404, "no such session here");
             };
             let director = playing.director;
-            let Some(holds) = inner.holds.get_mut(&id) else {
+            let Some(node_sessions) = inner.node_sessions.get_mut(&node_id) else {
                 return Reply::problem(404, "no such node");
             };
-            let held = holds.epochs(SessionId(run.session));
-            // Who names no epoch takes the one that is here.
-            let epoch = wanted
+            let epochs = node_sessions.epochs(SessionId(attempt_id.session));
+            // A request without an epoch gets the latest one at this node.
+            let epoch = request
                 .epoch
-                .or(held.serving.max(held.prepared))
+                .or(epochs.serving.max(epochs.prepared))
                 .unwrap_or_default();
-            if holds.fetch(SessionId(run.session), epoch).is_err() {
+            if node_sessions
+                .fetch(SessionId(attempt_id.session), epoch)
+                .is_err()
+            {
                 return Reply::problem(404, "nothing of that epoch is here");
             }
-            *inner.watched.entry((id, run)).or_default() += 1;
+            *inner.open_streams.entry((node_id, attempt_id)).or_default() += 1;
             (epoch > Epoch(0)).then_some((director, epoch))
         };
         let now = shalewall_clock::now().as_micros();
-        if let Some((director, epoch)) = told {
-            let AttemptId { session, attempt } = run;
-            self.note_fetched(id, run, epoch);
+        if let Some((director, epoch)) = migrated {
+            let AttemptId { session, attempt } = attempt_id;
+            self.record_fetch(node_id, attempt_id, epoch);
             let data =
                 serde_json::json!({ "session": session, "attempt": attempt, "epoch": epoch.0 });
-            self.say(id, director, "fetched", data.to_string());
+            self.send_event(node_id, director, "fetched", data.to_string());
         }
-        let viewer = Watched {
+        let viewer = ViewerStream {
             nodes: self,
-            id,
-            run,
+            node_id,
+            attempt_id,
         };
         let reply = Reply::new(200).with("Content-Type", "application/octet-stream");
-        match wanted.place {
+        match request.playback_range {
             None => reply.pieces(stream::unfold(viewer, |viewer| async {
-                Timer::after(FRAME).await;
-                viewer.nodes.awake(viewer.id).await;
+                Timer::after(FRAME_INTERVAL).await;
+                viewer.nodes.wait_until_running(viewer.node_id).await;
                 viewer.frame().map(|frame| (frame, viewer))
             })),
-            Some((from, ahead, live)) => {
-                let paced = Paced {
+            Some((start_ms, lead_ms, live)) => {
+                let paced = PacedStream {
                     viewer,
-                    opened: now,
-                    last: now,
-                    from,
-                    ahead,
+                    opened_us: now,
+                    last_frame_us: now,
+                    start_ms,
+                    lead_ms,
                     live,
-                    at: from,
+                    position_ms: start_ms,
                 };
                 reply.pieces(stream::unfold(paced, |mut paced| async {
                     loop {
-                        Timer::after(FRAME).await;
-                        paced.viewer.nodes.awake(paced.viewer.id).await;
+                        Timer::after(FRAME_INTERVAL).await;
+                        paced
+                            .viewer
+                            .nodes
+                            .wait_until_running(paced.viewer.node_id)
+                            .await;
                         if let Some(frame) = paced.frame()? {
                             return Some((frame, paced));
                         }
@@ -117,82 +134,95 @@
     }
 }
 
-/// Held by a viewer's stream; when the last one of a session goes, the session is over.
-struct Watched {
+/// Owned by a media stream; the session ends when its last stream is dropped.
+struct ViewerStream {
     nodes: Nodes,
-    id: u64,
-    run: AttemptId,
+    node_id: u64,
+    attempt_id: AttemptId,
 }
 
-impl Watched {
-    /// Rung, full rate in bytes a second, and the share that is delivered; none: it has ended here.
-    fn now(&self) -> Option<(u8, f64, f64)> {
+impl ViewerStream {
+    /// Rung, full rate in bytes per second, and delivered fraction; `None` if the session has ended at this node.
+    fn current_rate(&self) -> Option<(u8, f64, f64)> {
         let inner = self.nodes.inner.borrow();
-        let playing = inner.fleet.nodes.get(&self.id)?.playing.get(&self.run)?;
-        let full = playing.true_rate_kb_s * 1000.0 * self.nodes.telling.fraction;
+        let playing = inner
+            .fleet
+            .nodes
+            .get(&self.node_id)?
+            .playing
+            .get(&self.attempt_id)?;
+        let full_rate = playing.true_rate_kb_s * 1000.0 * self.nodes.settings.media_fraction;
         Some((
             playing.rung as u8,
-            full,
-            inner.fleet.load(self.id).delivered,
+            full_rate,
+            inner.fleet.load(self.node_id).delivered,
         ))
     }
 
     fn frame(&self) -> Option<Vec<u8>> {
-        let (rung, full, share) = self.now()?;
-        let length = (full * FRAME.as_secs_f64() * share) as usize;
+        let (rung, full_rate, delivered_fraction) = self.current_rate()?;
+        let length = (full_rate * FRAME_INTERVAL.as_secs_f64() * delivered_fraction) as usize;
         let mut frame = Vec::with_capacity(9 + length);
         frame.push(rung);
-        frame.extend_from_slice(&(full as u32).to_be_bytes());
+        frame.extend_from_slice(&(full_rate as u32).to_be_bytes());
         frame.extend_from_slice(&(length as u32).to_be_bytes());
         frame.resize(9 + length, b'x');
         Some(frame)
     }
 }
 
-impl Paced {
-    /// The next frame with its position; nothing where there is none yet.
+impl PacedStream {
+    /// The next frame with its position, or `Some(None)` if none is due yet; `None` if the session has ended.
     fn frame(&mut self) -> Option<Option<Vec<u8>>> {
-        let (rung, full, share) = self.viewer.now()?;
+        let (rung, full_rate, delivered_fraction) = self.viewer.current_rate()?;
         let now = shalewall_clock::now().as_micros();
-        let passed = (now - self.last) as f64 / 1000.0;
-        self.last = now;
-        let mut to = self.from + (now - self.opened) as f64 / 1000.0 + self.ahead;
+        let elapsed_ms = (now - self.last_frame_us) as f64 / 1000.0;
+        self.last_frame_us = now;
+        let mut target_ms = self.start_ms + (now - self.opened_us) as f64 / 1000.0 + self.lead_ms;
         if self.live {
-            to = to.min(now as f64 / 1000.0);
+            target_ms = target_ms.min(now as f64 / 1000.0);
         }
-        // A full link has nothing to catch up with.
-        let most = passed * if share < 1.0 { share } else { CATCH_UP };
-        let span = (to - self.at).min(most).floor();
-        if span < 1.0 {
+        // A full link has no bandwidth for catching up.
+        let max_span_ms = elapsed_ms
+            * if delivered_fraction < 1.0 {
+                delivered_fraction
+            } else {
+                MAX_CATCH_UP_RATE
+            };
+        let span_ms = (target_ms - self.position_ms).min(max_span_ms).floor();
+        if span_ms < 1.0 {
             return Some(None);
         }
-        let length = (full * span / 1000.0) as usize;
+        let length = (full_rate * span_ms / 1000.0) as usize;
         let mut frame = Vec::with_capacity(21 + length);
         frame.push(rung);
-        frame.extend_from_slice(&(full as u32).to_be_bytes());
+        frame.extend_from_slice(&(full_rate as u32).to_be_bytes());
         frame.extend_from_slice(&(length as u32).to_be_bytes());
-        frame.extend_from_slice(&(self.at as u64).to_be_bytes());
-        frame.extend_from_slice(&(span as u32).to_be_bytes());
+        frame.extend_from_slice(&(self.position_ms as u64).to_be_bytes());
+        frame.extend_from_slice(&(span_ms as u32).to_be_bytes());
         frame.resize(21 + length, b'x');
-        self.at += span;
+        self.position_ms += span_ms;
         Some(Some(frame))
     }
 }
 
-impl Drop for Watched {
+impl Drop for ViewerStream {
     fn drop(&mut self) {
         let last = {
             let mut inner = self.nodes.inner.borrow_mut();
-            let open = inner.watched.entry((self.id, self.run)).or_default();
+            let open = inner
+                .open_streams
+                .entry((self.node_id, self.attempt_id))
+                .or_default();
             *open = open.saturating_sub(1);
             let last = *open == 0;
             if last {
-                inner.watched.remove(&(self.id, self.run));
+                inner.open_streams.remove(&(self.node_id, self.attempt_id));
             }
             last
         };
         if last {
-            self.nodes.end_here(self.id, self.run);
+            self.nodes.terminate_session(self.node_id, self.attempt_id);
         }
     }
 }
--- a/crates/emulator/src/player.rs
+++ b/crates/emulator/src/player.rs
@@ -1,7 +1,7 @@
-//! A player with a buffer that follows its session: it fetches media with positions, says when nothing comes, and goes
-//! over to the node that its front offers. Every gap is recorded.
+//! A player with a buffer that supports session migration: it fetches media by position, reports silence to its
+//! director, and switches to the node that the director offers. Every playback gap is recorded.
 
-use crate::viewers::{Try, Viewer, Viewers};
+use crate::viewers::{AttemptOutcome, Viewer, Viewers};
 use async_channel::Sender;
 use async_executor::Task;
 use async_io::Timer;
@@ -20,20 +20,21 @@
 
 type Micros = i64;
 
-/// Nothing has come for so long: it says so, and again after this.
-const SILENT: Micros = 300_000;
-const AGAIN: Micros = 200_000;
-/// A picture of what it fetches has to come within this.
-const TRIES: Micros = 450_000;
-/// It shows nothing before so much has come.
-const START: Micros = 300_000;
-/// The picture has stood still for so long: the viewer gives up.
-const PATIENCE: Micros = 5_000_000;
-/// A wake-up so much too late says something of this process, not of a node.
-const LAG: Micros = 150_000;
+/// Time without media after which the player reports silence to its director.
+const SILENCE_TIMEOUT_US: Micros = 300_000;
+/// Interval at which it repeats the report.
+const SILENCE_REPORT_INTERVAL_US: Micros = 200_000;
+/// Time within which the first frame from a new node has to arrive; later, the switch is given up.
+const SWITCH_TIMEOUT_US: Micros = 450_000;
+/// Buffered media at which playback starts, unless the buffer itself is shorter.
+const START_THRESHOLD_US: Micros = 300_000;
+/// Time after which a viewer gives up on a stalled playback, or on one that does not start.
+const STALL_TIMEOUT_US: Micros = 5_000_000;
+/// Timer delay above which silence is attributed to this process instead of the node.
+const MAX_TIMER_DELAY_US: Micros = 150_000;
 
-/// What a player hears.
-enum News {
+/// Event that a player receives.
+enum PlayerEvent {
     Frame {
         source: u64,
         epoch: Epoch,
@@ -41,8 +42,8 @@
         position: Micros,
         span: Micros,
     },
-    /// What was fetched has ended, or is not to be had.
-    Ended {
+    /// A media stream ended, or could not be opened.
+    StreamEnded {
         source: u64,
         epoch: Epoch,
     },
@@ -50,33 +51,33 @@
         epoch: Epoch,
         media: String,
     },
-    /// The front says that the session is over.
-    Over,
+    /// The director reported the end of the session.
+    SessionOver,
 }
 
-/// One session as its player sees it.
+/// State of a player and its session.
 struct Player<'v> {
     viewers: &'v Viewers,
-    front: u32,
+    director: u32,
     session: u64,
     tenant: Option<String>,
-    /// Media addresses by their numbers here, which stand for nodes.
+    /// Media URLs; the index of a URL serves as the node's id.
     sources: Vec<String>,
-    seat: PlayerMigration,
-    head: Playhead,
+    migration: PlayerMigration,
+    playhead: Playhead,
     ahead: Micros,
     live: bool,
     streams: BTreeMap<(u64, Epoch), Task<()>>,
-    news: Sender<News>,
-    heard: Micros,
-    said: Micros,
-    /// Since when it waits for the picture of what it fetches.
-    tries: Option<Micros>,
-    over: bool,
+    events: Sender<PlayerEvent>,
+    last_received: Micros,
+    last_silence_report: Micros,
+    /// When the fetch from a new node began whose first frame has not arrived yet.
+    switch_started: Option<Micros>,
+    session_over: bool,
 }
 
 impl Player<'_> {
-    fn number(&mut self, media: &str) -> u64 {
+    fn source_id(&mut self, media: &str) -> u64 {
         let known = self.sources.iter().position(|s| s == media);
         known.unwrap_or_else(|| {
             self.sources.push(media.to_string());
@@ -85,104 +86,120 @@
     }
 
     fn fetch(&mut self, source: u64, epoch: Epoch) {
-        let from = self.head.received_to().as_millis();
+        let from = self.playhead.received_to().as_millis();
         let (ahead, live) = (self.ahead / 1000, u8::from(self.live));
         let url = format!(
             "{}?epoch={}&from={from}&ahead={ahead}&live={live}",
             self.sources[source as usize], epoch.0
         );
-        let news = self.news.clone();
-        let task = self.viewers.ex.spawn(async move {
-            read(url, source, epoch, &news).await;
-            let _ = news.send(News::Ended { source, epoch }).await;
+        let events = self.events.clone();
+        let task = self.viewers.executor.spawn(async move {
+            read_media(url, source, epoch, &events).await;
+            let _ = events
+                .send(PlayerEvent::StreamEnded { source, epoch })
+                .await;
         });
         self.streams.insert((source, epoch), task);
     }
 
-    /// A word to the front; it may be lost.
-    fn say(&self, word: &'static str, data: serde_json::Value) {
-        let Some(front) = self.viewers.front(self.front) else {
+    /// Sends a notification to the director, without a retry.
+    fn post(&self, action: &'static str, data: serde_json::Value) {
+        let Some(address) = self.viewers.director_address(self.director) else {
             return;
         };
-        let target = format!("/sessions/{}/{word}", self.session);
+        let target = format!("/sessions/{}/{action}", self.session);
         let tenant = self.tenant.clone();
         let task = async move {
-            let (host, body) = (front.to_string(), data.to_string());
+            let (host, body) = (address.to_string(), data.to_string());
             let tenant = tenant.as_deref().map(|name| ("Shalewall-Tenant", name));
-            let pool = Pool::new(front, Limits::default(), Duration::ZERO, 0);
+            let pool = Pool::new(address, Limits::default(), Duration::ZERO, 0);
             let call = Call::new("POST", &target, &host)
                 .fields(tenant.as_slice())
                 .json(body.as_bytes());
             let _ = in_time(Duration::from_secs(2), pool.call(&call)).await;
         };
-        self.viewers.ex.spawn(task).detach();
+        self.viewers.executor.spawn(task).detach();
     }
 
-    fn carry_out(&mut self, now: Micros, all: Vec<PlayerAction>) {
-        for what in all {
-            match what {
+    fn perform(&mut self, now: Micros, actions: Vec<PlayerAction>) {
+        for action in actions {
+            match action {
                 PlayerAction::Fetch { node, epoch } => {
                     let node = node.0;
                     if !self.streams.contains_key(&(node, epoch)) {
-                        self.tries = Some(now);
+                        self.switch_started = Some(now);
                         self.fetch(node, epoch);
                     }
                 }
                 PlayerAction::Close { node } => {
                     let node = node.0;
-                    let current = (self.seat.node().0, self.seat.epoch());
+                    let current = (self.migration.node().0, self.migration.epoch());
                     self.streams
                         .retain(|key, _| key.0 != node || *key == current);
                 }
                 PlayerAction::ConfirmSwitch { epoch } => {
-                    self.say("playing", serde_json::json!({ "epoch": epoch.0 }))
+                    self.post("playing", serde_json::json!({ "epoch": epoch.0 }))
                 }
                 PlayerAction::Decline { epoch } => {
-                    self.say("declined", serde_json::json!({ "epoch": epoch.0 }))
+                    self.post("declined", serde_json::json!({ "epoch": epoch.0 }))
                 }
             }
         }
     }
 
-    /// What is due by itself: words, and giving up what does not come.
+    /// Performs what is due: silence reports, and giving up a switch that timed out.
     fn tick(&mut self, now: Micros) {
-        self.head.advance(Timestamp::from_micros(now));
-        if self.tries.is_some_and(|t| now - t >= TRIES) {
-            self.tries = None;
-            let all = self.seat.give_up();
-            self.carry_out(now, all);
+        self.playhead.advance(Timestamp::from_micros(now));
+        if self
+            .switch_started
+            .is_some_and(|t| now - t >= SWITCH_TIMEOUT_US)
+        {
+            self.switch_started = None;
+            let actions = self.migration.give_up();
+            self.perform(now, actions);
         }
-        if now - self.heard >= SILENT && now - self.said >= AGAIN {
-            self.said = now;
-            let buffer = self.head.buffered(Timestamp::from_micros(now)).as_millis();
-            self.say("silent", serde_json::json!({ "buffer_ms": buffer }));
+        if now - self.last_received >= SILENCE_TIMEOUT_US
+            && now - self.last_silence_report >= SILENCE_REPORT_INTERVAL_US
+        {
+            self.last_silence_report = now;
+            let buffer = self
+                .playhead
+                .buffered(Timestamp::from_micros(now))
+                .as_millis();
+            self.post("silent", serde_json::json!({ "buffer_ms": buffer }));
         }
     }
 
     /// When [`Player::tick`] has something to do next.
-    fn due(&self, now: Micros) -> Micros {
-        let silent = (self.heard + SILENT).max(self.said + AGAIN);
-        let tries = self.tries.map_or(Micros::MAX, |t| t + TRIES);
-        let dry = self
-            .head
+    fn next_deadline(&self, now: Micros) -> Micros {
+        let silence_report = (self.last_received + SILENCE_TIMEOUT_US)
+            .max(self.last_silence_report + SILENCE_REPORT_INTERVAL_US);
+        let switch_deadline = self
+            .switch_started
+            .map_or(Micros::MAX, |t| t + SWITCH_TIMEOUT_US);
+        let stall_deadline = self
+            .playhead
             .stalled_since()
-            .map_or(Micros::MAX, |t| t.as_micros() + PATIENCE);
-        silent.min(tries).min(dry).max(now + 1000)
+            .map_or(Micros::MAX, |t| t.as_micros() + STALL_TIMEOUT_US);
+        silence_report
+            .min(switch_deadline)
+            .min(stall_deadline)
+            .max(now + 1000)
     }
 }
 
-/// Reads one stream of media to its end.
-async fn read(url: String, source: u64, epoch: Epoch, news: &Sender<News>) {
-    let Some(mut bytes) = crate::viewers::open(&url).await else {
+/// Reads a media stream to its end.
+async fn read_media(url: String, source: u64, epoch: Epoch, events: &Sender<PlayerEvent>) {
+    let Some(mut bytes) = crate::viewers::open_media(&url).await else {
         return;
     };
     let mut buf: Vec<u8> = Vec::new();
     while let Some(more) = bytes.next().await {
         buf.extend_from_slice(&more);
         let mut at = 0;
-        while let Some(head) = buf.get(at..at + 21) {
+        while let Some(header) = buf.get(at..at + 21) {
             let number = |from: usize, to: usize| {
-                head[from..to]
+                header[from..to]
                     .iter()
                     .fold(0u64, |n, b| n << 8 | u64::from(*b))
             };
@@ -191,14 +208,14 @@
                 break;
             }
             let (rung, position, span) = (
-                head[0] as usize,
+                header[0] as usize,
                 number(9, 17) as Micros,
                 number(17, 21) as Micros,
             );
             let (position, span) = (position * 1000, span * 1000);
             at += 21 + length;
-            if news
-                .send(News::Frame {
+            if events
+                .send(PlayerEvent::Frame {
                     source,
                     epoch,
                     rung,
@@ -215,48 +232,48 @@
     }
 }
 
-/// Keeps the stream of offers open, also over restarts of the front.
-async fn follow(
+/// Keeps the director's event stream open, and reopens it after restarts of the director.
+async fn follow_events(
     viewers: Viewers,
-    number: u32,
+    director: u32,
     session: u64,
     tenant: Option<String>,
-    plays: Rc<Cell<Epoch>>,
-    news: Sender<News>,
+    current_epoch: Rc<Cell<Epoch>>,
+    sender: Sender<PlayerEvent>,
 ) {
     let tenant = tenant.as_deref().map(|name| ("Shalewall-Tenant", name));
     loop {
-        if let Some(front) = viewers.front(number) {
-            let pool = Pool::new(front, Limits::default(), Duration::ZERO, 0);
+        if let Some(address) = viewers.director_address(director) {
+            let pool = Pool::new(address, Limits::default(), Duration::ZERO, 0);
             let (target, host) = (
-                format!("/sessions/{session}/events?epoch={}", plays.get().0),
-                front.to_string(),
+                format!("/sessions/{session}/events?epoch={}", current_epoch.get().0),
+                address.to_string(),
             );
             let call = Call::new("GET", &target, &host).fields(tenant.as_slice());
             let opening = async { pool.connect().await.ok()?.stream(&call).await.ok() };
             let opened = in_time(Duration::from_secs(2), opening).await.flatten();
             if let Some((head, incoming)) = opened {
                 if head.status != 200 {
-                    return; // nothing is handed over here
+                    return; // the director does not migrate sessions
                 }
                 let mut events = Events::new(incoming, 64 * 1024);
                 while let Some(batch) = events.next(Duration::from_secs(3)).await {
                     for event in batch {
                         let data: serde_json::Value =
                             serde_json::from_str(&event.data).unwrap_or_default();
-                        let told = match (
+                        let player_event = match (
                             event.kind.as_str(),
                             data["epoch"].as_u64(),
                             data["media"].as_str(),
                         ) {
-                            ("offer", Some(epoch), Some(media)) => News::Offer {
+                            ("offer", Some(epoch), Some(media)) => PlayerEvent::Offer {
                                 epoch: Epoch(epoch as u32),
                                 media: media.to_string(),
                             },
-                            ("over", ..) => News::Over,
+                            ("over", ..) => PlayerEvent::SessionOver,
                             _ => continue,
                         };
-                        if news.send(told).await.is_err() {
+                        if sender.send(player_event).await.is_err() {
                             return;
                         }
                     }
@@ -267,215 +284,223 @@
     }
 }
 
-/// Plays a session until its viewer's time is over, or the picture is gone for good.
+/// Plays a session until the watch time is over, the session ends, or the viewer gives up because of a stall.
 pub(crate) async fn watch(
     viewers: &Viewers,
     viewer: &Viewer,
-    front: u32,
-    ask: u64,
+    director: u32,
+    request_id: u64,
     session: u64,
     media: &str,
     late: bool,
-) -> Try {
-    let (sender, news) = async_channel::bounded(64);
+) -> AttemptOutcome {
+    let (sender, events) = async_channel::bounded(64);
     let now = shalewall_clock::now().as_micros();
     let ahead = if viewer.class.live {
         viewers.buffers.0
     } else {
         viewers.buffers.1
     };
-    // A live title is played so long behind what happens; a recorded one from its beginning.
-    let begin = if viewer.class.live {
+    // A live title is played one buffer length behind real time, a recorded one from its beginning.
+    let first_position = if viewer.class.live {
         (now - ahead) / 1000 * 1000
     } else {
         0
     };
     let mut player = Player {
         viewers,
-        front,
+        director,
         session,
         tenant: viewer.tenant.clone(),
         sources: Vec::new(),
-        seat: PlayerMigration::new(ServerId(0)),
-        head: Playhead::new(
-            TimeDelta::from_micros(begin),
-            TimeDelta::from_micros(START.min(ahead)),
+        migration: PlayerMigration::new(ServerId(0)),
+        playhead: Playhead::new(
+            TimeDelta::from_micros(first_position),
+            TimeDelta::from_micros(START_THRESHOLD_US.min(ahead)),
         ),
         ahead,
         live: viewer.class.live,
         streams: BTreeMap::new(),
-        news: sender.clone(),
-        heard: now,
-        said: now,
-        tries: None,
-        over: false,
+        events: sender.clone(),
+        last_received: now,
+        last_silence_report: now,
+        switch_started: None,
+        session_over: false,
     };
-    let plays = Rc::new(Cell::new(Epoch(0)));
-    player.number(media);
+    let current_epoch = Rc::new(Cell::new(Epoch(0)));
+    player.source_id(media);
     player.fetch(0, Epoch(0));
-    let _follow = viewers.ex.spawn(follow(
+    let _follow = viewers.executor.spawn(follow_events(
         viewers.clone(),
-        front,
+        director,
         session,
         viewer.tenant.clone(),
-        plays.clone(),
+        current_epoch.clone(),
         sender,
     ));
     let mut rungs: BTreeMap<usize, Micros> = BTreeMap::new();
-    // What has come, in order: rung, and from where to where. It counts when it is shown.
-    let mut coming: VecDeque<(usize, Micros, Micros)> = VecDeque::new();
-    let (mut last_rung, mut steps, mut stood) = (None, 0u64, 0);
+    // Received media that is not shown yet, in order of position: rung, start and end. It counts when it is shown.
+    let mut unshown: VecDeque<(usize, Micros, Micros)> = VecDeque::new();
+    let (mut last_rung, mut rung_changes, mut stalled_us) = (None, 0u64, 0);
     let until = now
         + viewer
             .until
             .saturating_duration_since(std::time::Instant::now())
             .as_micros() as i64;
-    let close = viewers.close_at();
-    let whole = loop {
+    let day_end = viewers.day_end_time();
+    let completed = loop {
         let now = shalewall_clock::now().as_micros();
-        let due = player.due(now).min(until);
-        let heard = in_time(
-            Duration::from_micros((due - now).max(0) as u64),
-            news.recv(),
+        let next_deadline = player.next_deadline(now).min(until);
+        let received = in_time(
+            Duration::from_micros((next_deadline - now).max(0) as u64),
+            events.recv(),
         )
         .await;
         let now = shalewall_clock::now().as_micros();
-        viewers.lag.set(viewers.lag.get().max(now - due));
-        if now - due > LAG {
-            // This process stood still: what did not come meanwhile is not the node's doing.
-            player.heard = now;
+        viewers
+            .max_timer_delay_us
+            .set(viewers.max_timer_delay_us.get().max(now - next_deadline));
+        if now - next_deadline > MAX_TIMER_DELAY_US {
+            // This process was suspended, so the silence meanwhile is not the node's fault.
+            player.last_received = now;
         }
-        match heard {
-            Some(Ok(News::Frame {
+        match received {
+            Some(Ok(PlayerEvent::Frame {
                 source,
                 epoch,
                 rung,
                 position,
                 span,
             })) => {
-                let all = player.seat.on_picture(ServerId(source), epoch);
-                if !all.is_empty() {
-                    player.tries = None;
+                let actions = player.migration.on_picture(ServerId(source), epoch);
+                if !actions.is_empty() {
+                    player.switch_started = None;
                 }
-                player.carry_out(now, all);
-                plays.set(player.seat.epoch());
-                if (source, epoch) == (player.seat.node().0, player.seat.epoch()) {
-                    let before = player.head.received_to();
-                    player.head.receive(
+                player.perform(now, actions);
+                current_epoch.set(player.migration.epoch());
+                if (source, epoch) == (player.migration.node().0, player.migration.epoch()) {
+                    let before = player.playhead.received_to();
+                    player.playhead.receive(
                         Timestamp::from_micros(now),
                         TimeDelta::from_micros(position),
                         TimeDelta::from_micros(span),
                     );
-                    player.heard = now;
+                    player.last_received = now;
                     let (from, to) = (
                         before.max(TimeDelta::from_micros(position)),
-                        player.head.received_to(),
+                        player.playhead.received_to(),
                     );
                     if to > from {
-                        coming.push_back((rung, from.as_micros(), to.as_micros()));
+                        unshown.push_back((rung, from.as_micros(), to.as_micros()));
                     }
                 }
             }
-            Some(Ok(News::Ended { source, epoch })) => {
+            Some(Ok(PlayerEvent::StreamEnded { source, epoch })) => {
                 player.streams.remove(&(source, epoch));
-                if (source, epoch) == (player.seat.node().0, player.seat.epoch()) {
-                    player.heard = player.heard.min(now - SILENT); // it will not come again by itself
-                } else if player.seat.pending()
+                if (source, epoch) == (player.migration.node().0, player.migration.epoch()) {
+                    player.last_received = player.last_received.min(now - SILENCE_TIMEOUT_US); // report silence at once
+                } else if player.migration.pending()
                     == Some(PendingFetch {
                         node: ServerId(source),
                         epoch,
                     })
                 {
-                    player.tries = None;
-                    let all = player.seat.give_up();
-                    player.carry_out(now, all);
+                    player.switch_started = None;
+                    let actions = player.migration.give_up();
+                    player.perform(now, actions);
                 }
             }
-            Some(Ok(News::Offer { epoch, media })) => {
-                let source = player.number(&media);
-                let all = player.seat.on_offer(ServerId(source), epoch);
-                player.carry_out(now, all);
+            Some(Ok(PlayerEvent::Offer { epoch, media })) => {
+                let source = player.source_id(&media);
+                let actions = player.migration.on_offer(ServerId(source), epoch);
+                player.perform(now, actions);
             }
-            Some(Ok(News::Over)) => player.over = true,
+            Some(Ok(PlayerEvent::SessionOver)) => player.session_over = true,
             Some(Err(_)) => break false,
             None => {}
         }
         player.tick(now);
         let shown_to =
-            player.head.received_to() - player.head.buffered(Timestamp::from_micros(now));
-        while let Some((rung, from, to)) = coming.pop_front() {
+            player.playhead.received_to() - player.playhead.buffered(Timestamp::from_micros(now));
+        while let Some((rung, from, to)) = unshown.pop_front() {
             let shown = shown_to.min(TimeDelta::from_micros(to)) - TimeDelta::from_micros(from);
             if shown <= TimeDelta::ZERO {
-                coming.push_front((rung, from, to));
+                unshown.push_front((rung, from, to));
                 break;
             }
-            if close.is_none_or(|t| now < t) {
+            if day_end.is_none_or(|t| now < t) {
                 *rungs.entry(rung).or_default() += shown.as_micros();
-                steps += u64::from(last_rung.is_some_and(|r| r != rung));
+                rung_changes += u64::from(last_rung.is_some_and(|r| r != rung));
             }
             last_rung = Some(rung);
             if shown_to < TimeDelta::from_micros(to) {
-                coming.push_front((rung, shown_to.as_micros(), to));
+                unshown.push_front((rung, shown_to.as_micros(), to));
                 break;
             }
         }
-        for gap in player.head.take_gaps() {
-            stood += gap.length.as_micros();
-            viewers.gap(ask, session, gap.at.as_micros(), gap.length.as_micros());
+        for gap in player.playhead.take_gaps() {
+            stalled_us += gap.length.as_micros();
+            viewers.record_gap(
+                request_id,
+                session,
+                gap.at.as_micros(),
+                gap.length.as_micros(),
+            );
         }
         if now >= until {
             break true;
         }
-        let dry = player.head.stalled_since().map(Timestamp::as_micros);
-        let stands = dry.is_some_and(|since| now - since >= PATIENCE);
-        let ended = player.over
+        let stalled_since = player.playhead.stalled_since().map(Timestamp::as_micros);
+        let stall_timed_out = stalled_since.is_some_and(|since| now - since >= STALL_TIMEOUT_US);
+        let session_ended = player.session_over
             && player.streams.is_empty()
-            && (dry.is_some() || !player.head.has_started());
-        let nothing = !player.head.has_started() && now - player.heard >= PATIENCE;
-        // Without a front that can offer another node, what has ended is over when the buffer is.
-        if stands
-            || ended
-            || nothing
-            || (player.streams.is_empty() && dry.is_some_and(|t| now - t >= 1_500_000))
+            && (stalled_since.is_some() || !player.playhead.has_started());
+        let start_timed_out =
+            !player.playhead.has_started() && now - player.last_received >= STALL_TIMEOUT_US;
+        // Without an offer of another node, a session whose streams have ended is over once its buffer is empty.
+        if stall_timed_out
+            || session_ended
+            || start_timed_out
+            || (player.streams.is_empty() && stalled_since.is_some_and(|t| now - t >= 1_500_000))
         {
             break false;
         }
     };
     let now = shalewall_clock::now().as_micros();
-    if let Some(since) = player.head.stalled_since().map(Timestamp::as_micros) {
-        stood += now - since;
-        match whole {
-            true => viewers.gap(ask, session, since, now - since),
-            // Until the viewer sees a picture again, if it does.
-            false => viewer.dry.set(Some((ask, session, since))),
+    if let Some(since) = player.playhead.stalled_since().map(Timestamp::as_micros) {
+        stalled_us += now - since;
+        match completed {
+            true => viewers.record_gap(request_id, session, since, now - since),
+            // The stall lasts until a retry of the viewer plays, if one does.
+            false => viewer.stall.set(Some((request_id, session, since))),
         }
     }
     let shown: Micros = rungs.values().sum();
-    let part = shown as f64 / (shown + stood).max(1) as f64;
+    let delivered_fraction = shown as f64 / (shown + stalled_us).max(1) as f64;
     let rungs: BTreeMap<usize, f64> = rungs
         .into_iter()
         .map(|(r, t)| (r, t as f64 / 1e6))
         .collect();
-    viewers.enter_watched(viewer, &rungs, steps, part, late);
-    viewers.enter_broken(viewer, !whole);
+    viewers.count_playback(viewer, &rungs, rung_changes, delivered_fraction, late);
+    viewers.count_interruption(viewer, !completed);
     let rungs = rungs.iter();
     let rung_times = rungs
         .map(|(rung, seconds)| RungTime::from((*rung, (seconds * 1e6) as i64)))
         .collect();
-    let (got, due) = (shown as u64, (shown + stood) as u64);
-    let micros = shown;
-    viewers.recorder.note(Record::SessionWatched {
+    let (received, expected) = (shown as u64, (shown + stalled_us) as u64);
+    let duration_us = shown;
+    viewers.recorder.record(Record::SessionWatched {
         time: Timestamp::from_micros(now),
-        request: ask,
+        request: request_id,
         session,
-        duration: TimeDelta::from_micros(micros),
-        bytes_received: got,
-        bytes_expected: due,
+        duration: TimeDelta::from_micros(duration_us),
+        bytes_received: received,
+        bytes_expected: expected,
         rung_times,
     });
-    if whole {
-        Try::Done
+    if completed {
+        AttemptOutcome::Completed
     } else {
-        Try::Again(viewers.crowd().retry_pause)
+        AttemptOutcome::Retry(viewers.population().retry_pause)
     }
 }
--- a/crates/emulator/src/viewers.rs
+++ b/crates/emulator/src/viewers.rs
@@ -1,4 +1,4 @@
-//! Viewers: they ask, watch, come again, and count what they got.
+//! Emulated viewers: they request sessions, watch them, retry, and add up their results.
 
 use crate::recorder::Recorder;
 use async_executor::LocalExecutor;
@@ -18,262 +18,284 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What has come of the viewers so far.
+/// Results of the viewers so far.
 #[derive(Clone, Debug, Default)]
-pub struct Count {
-    pub tallies: TotalsByTenant,
-    /// Answers by class: microseconds.
-    pub took: BTreeMap<String, Vec<u64>>,
-    /// The latest wake-up of a player that follows, microseconds: gaps are measured no better.
-    pub lag: i64,
+pub struct ViewerResults {
+    pub totals: TotalsByTenant,
+    /// Response latencies by class, microseconds.
+    pub latencies_us: BTreeMap<String, Vec<u64>>,
+    /// Largest timer delay of a player that supports migration, microseconds; gaps are measured no more precisely.
+    pub max_timer_delay_us: i64,
 }
 
-/// All viewers of a run.
+/// All viewers of an emulation; clones share their state.
 #[derive(Clone)]
 pub struct Viewers {
-    pub(crate) ex: Rc<LocalExecutor<'static>>,
+    pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) recorder: Recorder,
-    crowd: Rc<ViewerPopulation>,
-    fronts: Rc<RefCell<Vec<SocketAddr>>>,
-    dice: Rc<RefCell<ChaCha8Rng>>,
-    /// Chance of who comes: one stream for each tenant, or one for all.
-    arrivals: Rc<RefCell<Vec<ChaCha8Rng>>>,
-    asks: Rc<Cell<u64>>,
-    pub count: Rc<RefCell<Count>>,
-    /// How much faster than usual they come, and what extra ones come for, as a part of the usual rate.
-    burst: Rc<Cell<f64>>,
-    bursts: Rc<RefCell<BTreeMap<String, f64>>>,
-    extra: Rc<RefCell<Option<(Interest, f64)>>>,
-    here: Rc<Cell<usize>>,
-    /// The day's end: worth is counted up to it.
-    close: Rc<Cell<Option<Instant>>>,
-    /// Of players that follow, what they keep in their buffers, microseconds; and the latest wake-up of any.
+    population: Rc<ViewerPopulation>,
+    director_addresses: Rc<RefCell<Vec<SocketAddr>>>,
+    rng: Rc<RefCell<ChaCha8Rng>>,
+    /// Random number generators for arrivals: one for each tenant, or one for all viewers.
+    arrival_rngs: Rc<RefCell<Vec<ChaCha8Rng>>>,
+    request_count: Rc<Cell<u64>>,
+    pub results: Rc<RefCell<ViewerResults>>,
+    /// Factor of the usual arrival rate.
+    rate_factor: Rc<Cell<f64>>,
+    tenant_rate_factors: Rc<RefCell<BTreeMap<String, f64>>>,
+    /// Interest of additional viewers, and their arrivals as a fraction of the usual rate.
+    surge: Rc<RefCell<Option<(Interest, f64)>>>,
+    active_viewers: Rc<Cell<usize>>,
+    /// End of the day; worth is counted up to this time.
+    day_end: Rc<Cell<Option<Instant>>>,
+    /// Buffer lengths of players that support migration, for live and for recorded titles, microseconds.
     pub(crate) buffers: (i64, i64),
-    pub lag: Rc<Cell<i64>>,
-    /// Connections that could not be made for want of something of this machine's own.
-    pub lacked: Rc<Cell<u64>>,
+    /// Largest timer delay of a player that supports migration, microseconds.
+    pub max_timer_delay_us: Rc<Cell<i64>>,
+    /// Number of connections that failed because this machine ran out of descriptors or ports.
+    pub local_resource_errors: Rc<Cell<u64>>,
 }
 
-/// One that wants to watch.
+/// A viewer, from its arrival to its last retry.
 pub(crate) struct Viewer {
     pub(crate) tenant: Option<String>,
     key: String,
     pub(crate) class: Class,
     title: String,
-    top: usize,
+    highest_rung: usize,
     pub(crate) until: Instant,
-    /// Its player can be offered another node.
-    follows: bool,
-    /// Since when it sees nothing, and of which session.
-    pub(crate) dry: Cell<Option<(u64, u64, i64)>>,
-    /// It was turned away before, and it has played.
-    refused: Cell<bool>,
-    played: Cell<bool>,
+    /// Whether its player supports session migration.
+    supports_migration: bool,
+    /// Stall that the last session ended with: its request, session, and start in microseconds.
+    pub(crate) stall: Cell<Option<(u64, u64, i64)>>,
+    /// Whether a request of it was rejected.
+    was_rejected: Cell<bool>,
+    /// Whether a session of it has played.
+    has_played: Cell<bool>,
 }
 
-/// How one try went.
-pub(crate) enum Try {
-    /// Watched to the end.
-    Done,
-    /// Turned away, failed or broken off: may come again after this.
-    Again(Duration),
-    /// Nothing more is wanted.
-    Over,
+/// Outcome of one request of a viewer.
+pub(crate) enum AttemptOutcome {
+    /// The viewer watched to the end.
+    Completed,
+    /// The request or its session failed; the viewer may retry after this backoff.
+    Retry(Duration),
+    /// The viewer does not retry.
+    GiveUp,
 }
 
 impl Viewers {
-    /// `arrivals`: chance of who comes, a stream for each tenant of the crowd, or one.
+    /// Creates the viewers. `arrival_rngs` are the random number generators for arrivals: one for each tenant of the
+    /// population, or one if it has no tenants.
     pub fn new(
-        ex: Rc<LocalExecutor<'static>>,
+        executor: Rc<LocalExecutor<'static>>,
         recorder: Recorder,
-        crowd: ViewerPopulation,
-        arrivals: Vec<ChaCha8Rng>,
+        population: ViewerPopulation,
+        arrival_rngs: Vec<ChaCha8Rng>,
         seed: u64,
     ) -> Viewers {
         let micros = |d: Duration| d.as_micros() as i64;
         Viewers {
-            buffers: (micros(crowd.live_buffer), micros(crowd.recorded_buffer)),
-            lag: Rc::default(),
-            lacked: Rc::default(),
-            ex,
+            buffers: (
+                micros(population.live_buffer),
+                micros(population.recorded_buffer),
+            ),
+            max_timer_delay_us: Rc::default(),
+            local_resource_errors: Rc::default(),
+            executor,
             recorder,
-            crowd: Rc::new(crowd),
-            fronts: Rc::default(),
-            dice: Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed))),
-            arrivals: Rc::new(RefCell::new(arrivals)),
-            asks: Rc::default(),
-            count: Rc::default(),
-            burst: Rc::new(Cell::new(1.0)),
-            bursts: Rc::default(),
-            extra: Rc::default(),
-            here: Rc::default(),
-            close: Rc::default(),
+            population: Rc::new(population),
+            director_addresses: Rc::default(),
+            rng: Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed))),
+            arrival_rngs: Rc::new(RefCell::new(arrival_rngs)),
+            request_count: Rc::default(),
+            results: Rc::default(),
+            rate_factor: Rc::new(Cell::new(1.0)),
+            tenant_rate_factors: Rc::default(),
+            surge: Rc::default(),
+            active_viewers: Rc::default(),
+            day_end: Rc::default(),
         }
     }
 
-    /// Where fronts listen, by number.
-    pub fn set_front(&self, number: u32, address: SocketAddr) {
-        let mut fronts = self.fronts.borrow_mut();
-        let slots = fronts.len().max(number as usize + 1);
-        fronts.resize(slots, address);
-        fronts[number as usize] = address;
+    /// Sets the address at which a director listens.
+    pub fn set_director(&self, number: u32, address: SocketAddr) {
+        let mut director_addresses = self.director_addresses.borrow_mut();
+        let slots = director_addresses.len().max(number as usize + 1);
+        director_addresses.resize(slots, address);
+        director_addresses[number as usize] = address;
     }
 
-    pub fn set_burst(&self, times: f64) {
-        self.burst.set(times.max(0.0));
+    /// Multiplies the arrival rate of all viewers by a factor.
+    pub fn set_rate_factor(&self, factor: f64) {
+        self.rate_factor.set(factor.max(0.0));
     }
 
-    /// One tenant's viewers come so many times as often.
-    pub fn set_tenant_burst(&self, tenant: &str, times: f64) {
-        self.bursts
+    /// Multiplies the arrival rate of a tenant's viewers by a factor.
+    pub fn set_tenant_rate_factor(&self, tenant: &str, factor: f64) {
+        self.tenant_rate_factors
             .borrow_mut()
-            .insert(tenant.to_string(), times.max(0.0));
+            .insert(tenant.to_string(), factor.max(0.0));
     }
 
-    /// Extra viewers, as a part of the usual rate.
-    pub fn set_extra(&self, extra: Option<(Interest, f64)>) {
-        *self.extra.borrow_mut() = extra;
+    /// Adds viewers with a common interest, as a fraction of the usual arrival rate; `None` ends the surge.
+    pub fn set_surge(&self, surge: Option<(Interest, f64)>) {
+        *self.surge.borrow_mut() = surge;
     }
 
-    pub fn crowd(&self) -> &ViewerPopulation {
-        &self.crowd
+    pub fn population(&self) -> &ViewerPopulation {
+        &self.population
     }
 
-    /// Viewers that are asking, watching or about to come again.
-    pub fn here(&self) -> usize {
-        self.here.get()
+    /// Number of viewers that wait for a response, watch, or are about to retry.
+    pub fn active_viewers(&self) -> usize {
+        self.active_viewers.get()
     }
 
-    fn roll(&self) -> f64 {
-        self.dice.borrow_mut().random()
+    fn random_fraction(&self) -> f64 {
+        self.rng.borrow_mut().random()
     }
 
-    /// Viewers come for so long, at exponential distances.
-    pub async fn arrive(&self, time: Duration) {
+    /// Lets viewers arrive for a duration, at exponentially distributed intervals.
+    pub async fn run_arrivals(&self, time: Duration) {
         let until = Instant::now() + time;
-        self.close.set(Some(until));
-        let streams = self.arrivals.borrow().len();
+        self.day_end.set(Some(until));
+        let streams = self.arrival_rngs.borrow().len();
         let all = (0..streams).map(|stream| {
             let viewers = self.clone();
-            self.ex
-                .spawn(async move { viewers.come(stream, until).await })
+            self.executor
+                .spawn(async move { viewers.run_arrival_stream(stream, until).await })
         });
         for stream in all.collect::<Vec<_>>() {
             stream.await;
         }
     }
 
-    /// The viewers of one stream of arrivals.
-    async fn come(&self, stream: usize, until: Instant) {
-        let tenant = self.crowd.tenants.get(stream).cloned();
+    /// Lets the viewers of one arrival stream arrive until a time.
+    async fn run_arrival_stream(&self, stream: usize, until: Instant) {
+        let tenant = self.population.tenants.get(stream).cloned();
         let mut next = Instant::now();
         loop {
-            let extra = self.extra.borrow().as_ref().map_or(0.0, |(_, part)| *part);
-            let all = self.burst.get() + extra;
-            let times = tenant.as_ref().map_or(1.0, |(name, times)| {
-                times * self.bursts.borrow().get(name).unwrap_or(&1.0)
+            let surge_fraction = self.surge.borrow().as_ref().map_or(0.0, |(_, part)| *part);
+            let all = self.rate_factor.get() + surge_fraction;
+            let tenant_factor = tenant.as_ref().map_or(1.0, |(name, factor)| {
+                factor * self.tenant_rate_factors.borrow().get(name).unwrap_or(&1.0)
             });
-            next += self
-                .crowd
-                .time_to_next_arrival(all * times, &mut self.arrivals.borrow_mut()[stream]);
+            next += self.population.time_to_next_arrival(
+                all * tenant_factor,
+                &mut self.arrival_rngs.borrow_mut()[stream],
+            );
             if next >= until {
                 Timer::at(until).await;
                 return;
             }
             Timer::at(next).await;
             let viewers = self.clone();
-            let viewer = self.draw(
+            let viewer = self.draw_viewer(
                 stream,
-                extra / all,
+                surge_fraction / all,
                 tenant.as_ref().map(|(name, _)| name.clone()),
             );
-            self.here.set(self.here.get() + 1);
-            self.ex
+            self.active_viewers.set(self.active_viewers.get() + 1);
+            self.executor
                 .spawn(async move {
-                    viewers.live(viewer).await;
-                    viewers.here.set(viewers.here.get() - 1);
+                    viewers.run_viewer(viewer).await;
+                    viewers.active_viewers.set(viewers.active_viewers.get() - 1);
                 })
                 .detach();
         }
     }
 
-    fn draw(&self, stream: usize, part: f64, tenant: Option<String>) -> Viewer {
-        let extra = self.extra.borrow();
-        let extra = extra.as_ref().map(|(draw, _)| (draw, part));
-        let person = self
-            .crowd
-            .draw_viewer(extra, &mut self.arrivals.borrow_mut()[stream]);
+    fn draw_viewer(&self, stream: usize, part: f64, tenant: Option<String>) -> Viewer {
+        let surge = self.surge.borrow();
+        let surge = surge.as_ref().map(|(interest, _)| (interest, part));
+        let drawn = self
+            .population
+            .draw_viewer(surge, &mut self.arrival_rngs.borrow_mut()[stream]);
         let now = Instant::now();
         let within = self
-            .close
+            .day_end
             .get()
-            .map_or(person.watch_time, |t| t.saturating_duration_since(now));
-        let wanted = self.crowd.worth_offered(&person, within);
+            .map_or(drawn.watch_time, |t| t.saturating_duration_since(now));
+        let worth_offered = self.population.worth_offered(&drawn, within);
         let viewer = Viewer {
             tenant,
-            key: person.key,
-            class: self.crowd.classes[person.class].clone(),
-            title: person.title,
-            top: person.highest_rung,
-            until: now + person.watch_time,
-            follows: self.crowd.follow_fraction > 0.0 && self.roll() < self.crowd.follow_fraction,
-            dry: Cell::default(),
-            refused: Cell::default(),
-            played: Cell::default(),
+            key: drawn.key,
+            class: self.population.classes[drawn.class].clone(),
+            title: drawn.title,
+            highest_rung: drawn.highest_rung,
+            until: now + drawn.watch_time,
+            supports_migration: self.population.follow_fraction > 0.0
+                && self.random_fraction() < self.population.follow_fraction,
+            stall: Cell::default(),
+            was_rejected: Cell::default(),
+            has_played: Cell::default(),
         };
-        self.enter(&viewer, |t| {
+        self.update_totals(&viewer, |t| {
             t.viewers += 1;
             t.viewers_unserved += 1;
-            t.worth_offered += wanted;
+            t.worth_offered += worth_offered;
         });
         viewer
     }
 
-    fn enter(&self, viewer: &Viewer, what: impl Fn(&mut ViewerTotals)) {
-        self.count
+    fn update_totals(&self, viewer: &Viewer, change: impl Fn(&mut ViewerTotals)) {
+        self.results
             .borrow_mut()
-            .tallies
-            .update(viewer.tenant.as_deref(), what);
+            .totals
+            .update(viewer.tenant.as_deref(), change);
     }
 
-    async fn live(&self, viewer: Viewer) {
-        let mut again = false;
-        let mut at = (self.roll() * 1e6) as usize;
+    async fn run_viewer(&self, viewer: Viewer) {
+        let mut is_retry = false;
+        let mut position = (self.random_fraction() * 1e6) as usize;
         while Instant::now() < viewer.until {
-            let (number, front) = {
-                let fronts = self.fronts.borrow();
-                if fronts.is_empty() {
+            let (director, address) = {
+                let director_addresses = self.director_addresses.borrow();
+                if director_addresses.is_empty() {
                     return;
                 }
-                (at % fronts.len(), fronts[at % fronts.len()])
+                (
+                    position % director_addresses.len(),
+                    director_addresses[position % director_addresses.len()],
+                )
             };
-            match self.attempt(&viewer, number as u32, front, again).await {
-                Try::Done | Try::Over => return,
-                Try::Again(pause) => {
-                    if self.roll() >= self.crowd.retry_fraction {
+            match self
+                .request_session(&viewer, director as u32, address, is_retry)
+                .await
+            {
+                AttemptOutcome::Completed | AttemptOutcome::GiveUp => return,
+                AttemptOutcome::Retry(pause) => {
+                    if self.random_fraction() >= self.population.retry_fraction {
                         return;
                     }
-                    Timer::after(pause.mul_f64(0.5 + self.roll())).await;
+                    Timer::after(pause.mul_f64(0.5 + self.random_fraction())).await;
                 }
             }
-            again = true;
-            at += (self.roll() * 2.0) as usize;
+            is_retry = true;
+            position += (self.random_fraction() * 2.0) as usize;
         }
     }
 
-    async fn attempt(&self, viewer: &Viewer, number: u32, front: SocketAddr, again: bool) -> Try {
-        let ask = self.asks.get();
-        self.asks.set(ask + 1);
+    async fn request_session(
+        &self,
+        viewer: &Viewer,
+        director: u32,
+        address: SocketAddr,
+        is_retry: bool,
+    ) -> AttemptOutcome {
+        let request_id = self.request_count.get();
+        self.request_count.set(request_id + 1);
         let left = viewer.until.saturating_duration_since(Instant::now());
-        let hint = Some(left.as_secs_f64() * self.crowd.hint_factor).filter(|s| *s > 0.0);
+        let hint = Some(left.as_secs_f64() * self.population.hint_factor).filter(|s| *s > 0.0);
         let body = serde_json::json!({
             "viewer": viewer.key, "tenant": viewer.tenant, "class": viewer.class.name, "title": viewer.title,
             "wait_ms": viewer.class.request_timeout.as_millis() as u64, "hint_s": hint,
-            "top": viewer.top, "again": again,
+            "top": viewer.highest_rung, "again": is_retry,
         })
         .to_string();
-        let host = front.to_string();
-        // Of a hosted service: whose viewer it is has to be known before its content is read.
+        let host = address.to_string();
+        // A hosted director needs to know the tenant before it reads the body.
         let tenant = viewer
             .tenant
             .as_deref()
@@ -281,93 +303,97 @@
         let call = Call::new("POST", "/sessions", &host)
             .fields(tenant.as_slice())
             .json(body.as_bytes());
-        let pool = Pool::new(front, Limits::default(), Duration::ZERO, 0);
+        let pool = Pool::new(address, Limits::default(), Duration::ZERO, 0);
         let mut connection = match pool.connect().await {
             Ok(connection) => connection,
             Err(e) => {
-                let own = matches!(e, Failure::NotConnected(Unconnected::Own, _));
-                self.lacked.set(self.lacked.get() + u64::from(own));
-                self.enter(viewer, |t| t.unanswered += 1);
-                return Try::Again(self.crowd.retry_pause);
+                let is_local = matches!(e, Failure::NotConnected(Unconnected::Own, _));
+                self.local_resource_errors
+                    .set(self.local_resource_errors.get() + u64::from(is_local));
+                self.update_totals(viewer, |t| t.unanswered += 1);
+                return AttemptOutcome::Retry(self.population.retry_pause);
             }
         };
-        let t = shalewall_clock::now().as_micros();
-        let wait = viewer.class.request_timeout.as_micros() as i64;
+        let sent_at = shalewall_clock::now().as_micros();
+        let timeout_us = viewer.class.request_timeout.as_micros() as i64;
         let (key, class, title) = (
             viewer.key.clone(),
             viewer.class.name.clone(),
             viewer.title.clone(),
         );
         let tenant = viewer.tenant.clone();
-        self.recorder.note(Record::RequestSent {
-            time: Timestamp::from_micros(t),
-            director: number,
-            request: ask,
+        self.recorder.record(Record::RequestSent {
+            time: Timestamp::from_micros(sent_at),
+            director,
+            request: request_id,
             key,
             tenant,
             class,
             title,
-            timeout: TimeDelta::from_micros(wait),
+            timeout: TimeDelta::from_micros(timeout_us),
         });
-        self.enter(viewer, |t| t.requested += 1);
-        // A viewer waits somewhat longer than it said: an answer that is late is to be seen.
+        self.update_totals(viewer, |t| t.requested += 1);
+        // The viewer waits longer than the timeout it announced, so that late responses are recorded.
         let patience = viewer.class.request_timeout + Duration::from_secs(3);
-        let answer = in_time(patience, connection.call(&call)).await;
+        let response = in_time(patience, connection.call(&call)).await;
         let now = shalewall_clock::now().as_micros();
-        let answer = match answer {
-            Some(Ok(answer)) => answer,
+        let response = match response {
+            Some(Ok(response)) => response,
             Some(Err(Failure::NotConnected(..) | Failure::NeverRan(_))) => {
-                self.recorder.note(Record::RequestCancelled {
+                self.recorder.record(Record::RequestCancelled {
                     time: Timestamp::from_micros(now),
-                    request: ask,
+                    request: request_id,
                 });
-                return Try::Again(self.crowd.retry_pause);
+                return AttemptOutcome::Retry(self.population.retry_pause);
             }
             None | Some(Err(Failure::MayHaveRun(_))) => {
-                self.recorder.note(Record::RequestUnanswered {
+                self.recorder.record(Record::RequestUnanswered {
                     time: Timestamp::from_micros(now),
-                    request: ask,
+                    request: request_id,
                 });
-                self.enter(viewer, |t| t.unanswered += 1);
-                return Try::Again(self.crowd.retry_pause);
+                self.update_totals(viewer, |t| t.unanswered += 1);
+                return AttemptOutcome::Retry(self.population.retry_pause);
             }
         };
-        let said: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let session = said["session"].as_u64();
-        let status = answer.head.status;
-        self.recorder.note(Record::RequestAnswered {
+        let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+        let session = body["session"].as_u64();
+        let status = response.head.status;
+        self.recorder.record(Record::RequestAnswered {
             time: Timestamp::from_micros(now),
-            request: ask,
+            request: request_id,
             status,
             session,
         });
-        let took = (now - t) as u64;
-        self.count
+        let latency_us = (now - sent_at) as u64;
+        self.results
             .borrow_mut()
-            .took
+            .latencies_us
             .entry(viewer.class.name.clone())
             .or_default()
-            .push(took);
-        let pause = said["come_back_ms"]
+            .push(latency_us);
+        let retry_after = body["come_back_ms"]
             .as_f64()
             .map(|ms| Duration::from_secs_f64(ms / 1000.0));
-        match (status, session, said["media"].as_str()) {
+        match (status, session, body["media"].as_str()) {
             (201, Some(session), Some(media)) => {
-                let first = u64::from(!viewer.played.replace(true));
-                self.enter(viewer, |t| {
+                let first = u64::from(!viewer.has_played.replace(true));
+                self.update_totals(viewer, |t| {
                     (t.played, t.viewers_unserved) = (t.played + 1, t.viewers_unserved - first)
                 });
-                let late = Duration::from_micros(took) > viewer.class.latency_objective;
-                if let Some((before, session, since)) = viewer.dry.take() {
-                    self.gap(before, session, since, now - since);
+                let late = Duration::from_micros(latency_us) > viewer.class.latency_objective;
+                if let Some((stalled_request, session, since)) = viewer.stall.take() {
+                    self.record_gap(stalled_request, session, since, now - since);
                 }
-                let watched = match viewer.follows {
+                let watched = match viewer.supports_migration {
                     true => {
-                        crate::player::watch(self, viewer, number, ask, session, media, late).await
+                        crate::player::watch(
+                            self, viewer, director, request_id, session, media, late,
+                        )
+                        .await
                     }
-                    false => self.watch(viewer, ask, session, media, late).await,
+                    false => self.watch(viewer, request_id, session, media, late).await,
                 };
-                if self.roll() < 0.5 {
+                if self.random_fraction() < 0.5 {
                     let target = format!("/sessions/{session}");
                     let end = Call::new("DELETE", &target, &host);
                     let _ = in_time(Duration::from_secs(2), pool.call(&end)).await;
@@ -375,144 +401,175 @@
                 watched
             }
             (503, ..) => {
-                let first = u64::from(!viewer.refused.replace(true));
-                self.enter(viewer, |t| {
+                let first = u64::from(!viewer.was_rejected.replace(true));
+                self.update_totals(viewer, |t| {
                     (t.rejected, t.viewers_rejected) = (t.rejected + 1, t.viewers_rejected + first)
                 });
-                Try::Again(pause.unwrap_or(self.crowd.retry_pause))
+                AttemptOutcome::Retry(retry_after.unwrap_or(self.population.retry_pause))
             }
             (502 | 504, ..) => {
-                self.enter(viewer, |t| t.failed += 1);
-                Try::Over // it may have run and been paid for: coming again could pay twice
+                self.update_totals(viewer, |t| t.failed += 1);
+                AttemptOutcome::GiveUp // the set-up may have been executed and paid for; a retry could pay twice
             }
             _ => {
-                self.enter(viewer, |t| t.failed += 1);
-                Try::Over
+                self.update_totals(viewer, |t| t.failed += 1);
+                AttemptOutcome::GiveUp
             }
         }
     }
 
-    /// Where a front listens now.
-    pub(crate) fn front(&self, number: u32) -> Option<SocketAddr> {
-        self.fronts.borrow().get(number as usize).copied()
+    /// Current address of a director.
+    pub(crate) fn director_address(&self, number: u32) -> Option<SocketAddr> {
+        self.director_addresses
+            .borrow()
+            .get(number as usize)
+            .copied()
     }
 
-    /// When the day is over, on the clock of recordings.
-    pub(crate) fn close_at(&self) -> Option<i64> {
-        let left = self.close.get()?.saturating_duration_since(Instant::now());
+    /// End of the day on the clock of recordings, microseconds.
+    pub(crate) fn day_end_time(&self) -> Option<i64> {
+        let left = self
+            .day_end
+            .get()?
+            .saturating_duration_since(Instant::now());
         Some(shalewall_clock::now().as_micros() + left.as_micros() as i64)
     }
 
-    pub(crate) fn gap(&self, ask: u64, session: u64, t: i64, micros: i64) {
-        self.recorder.note(Record::PlaybackGap {
-            time: Timestamp::from_micros(t),
-            request: ask,
+    pub(crate) fn record_gap(
+        &self,
+        request_id: u64,
+        session: u64,
+        start_us: i64,
+        duration_us: i64,
+    ) {
+        self.recorder.record(Record::PlaybackGap {
+            time: Timestamp::from_micros(start_us),
+            request: request_id,
             session,
-            duration: TimeDelta::from_micros(micros),
+            duration: TimeDelta::from_micros(duration_us),
         });
     }
 
-    pub(crate) fn enter_broken(&self, viewer: &Viewer, broken: bool) {
-        self.enter(viewer, |t| t.broken += u64::from(broken));
+    pub(crate) fn count_interruption(&self, viewer: &Viewer, interrupted: bool) {
+        self.update_totals(viewer, |t| t.broken += u64::from(interrupted));
     }
 
-    /// Enters what a session came to into the count.
-    fn tally(&self, viewer: &Viewer, meter: &Meter, late: bool) {
-        let share = if meter.due > 0.0 {
-            (meter.got as f64 / meter.due).min(1.0)
+    /// Adds the playback of a session without a buffer to the totals.
+    fn count_unbuffered_playback(&self, viewer: &Viewer, playback: &PlaybackMeter, late: bool) {
+        let delivered_fraction = if playback.bytes_expected > 0.0 {
+            (playback.bytes_received as f64 / playback.bytes_expected).min(1.0)
         } else {
             0.0
         };
-        self.enter_watched(viewer, &meter.rungs, meter.steps, share, late);
+        self.count_playback(
+            viewer,
+            &playback.seconds_by_rung,
+            playback.rung_changes,
+            delivered_fraction,
+            late,
+        );
     }
 
-    /// `rungs`: seconds at each; `share`: part of it that was delivered.
-    pub(crate) fn enter_watched(
+    /// Adds the playback of a session to the totals. `rungs` are the seconds at each rung, `delivered_fraction` is the
+    /// fraction of the rate that was received.
+    pub(crate) fn count_playback(
         &self,
         viewer: &Viewer,
         rungs: &BTreeMap<usize, f64>,
-        steps: u64,
-        share: f64,
+        rung_changes: u64,
+        delivered_fraction: f64,
         late: bool,
     ) {
-        let kept = self.crowd.worth_kept(share);
-        self.enter(viewer, |t| {
-            t.rung_changes += steps;
-            t.worth_earned -=
-                steps as f64 * self.crowd.rung_change_cost_s * viewer.class.priority_weight;
+        let kept = self.population.worth_kept(delivered_fraction);
+        self.update_totals(viewer, |t| {
+            t.rung_changes += rung_changes;
+            t.worth_earned -= rung_changes as f64
+                * self.population.rung_change_cost_s
+                * viewer.class.priority_weight;
             for (rung, time) in rungs {
                 *t.seconds_by_rung.entry(*rung).or_default() += time;
-                // What plays after the wanted time earns nothing for its first second.
+                // A response later than the latency objective forfeits the worth of the first second.
                 let lost = if late { 1.0_f64.min(*time) } else { 0.0 };
-                let worth = self.crowd.utility.get(*rung).copied().unwrap_or(0.0);
+                let worth = self.population.utility.get(*rung).copied().unwrap_or(0.0);
                 t.worth_earned += (time - lost) * viewer.class.priority_weight * worth * kept;
             }
         });
     }
 
-    /// Takes media until the session's time is over, or leaves when too little comes.
-    async fn watch(&self, viewer: &Viewer, ask: u64, session: u64, media: &str, late: bool) -> Try {
-        let mut meter = Meter::new(self.close.get());
+    /// Plays a session without a buffer until the watch time is over, or until the viewer gives up because of stalls.
+    async fn watch(
+        &self,
+        viewer: &Viewer,
+        request_id: u64,
+        session: u64,
+        media: &str,
+        late: bool,
+    ) -> AttemptOutcome {
+        let mut playback = PlaybackMeter::new(self.day_end.get());
         let mut counted = false;
-        let stream = open(media).await;
-        let whole = match stream {
+        let stream = open_media(media).await;
+        let completed = match stream {
             None => false,
             Some(mut frames) => loop {
                 let left = viewer.until.saturating_duration_since(Instant::now());
                 if left.is_zero() {
                     break true;
                 }
-                // Nothing at all for five seconds: the picture stands, and the viewer gives up.
+                // A viewer gives up after five seconds without media.
                 let wait = left.min(Duration::from_secs(5));
                 match in_time(wait, frames.next()).await {
                     Some(Some(bytes)) => {
-                        meter.take(&bytes);
-                        // Many sessions outlast the day and this run: what counts of them is known now.
-                        if !counted && self.close.get().is_some_and(|t| Instant::now() >= t) {
-                            self.tally(viewer, &meter, late);
+                        playback.receive(&bytes);
+                        // A session may outlast the day and the process; only playback up to the day's end counts.
+                        if !counted && self.day_end.get().is_some_and(|t| Instant::now() >= t) {
+                            self.count_unbuffered_playback(viewer, &playback, late);
                             counted = true;
                         }
                     }
                     Some(None) => break false,
                     None => {
-                        meter.wait();
+                        playback.advance();
                         break Instant::now() >= viewer.until;
                     }
                 }
-                // Under 75% for a while, viewers begin to leave.
-                if meter.poor() && self.roll() < 0.02 {
+                // Below 75% of the rate for some time, a viewer gives up with a probability of 2% per chunk.
+                if playback.is_poor() && self.random_fraction() < 0.02 {
                     break false;
                 }
             },
         };
-        meter.wait();
+        playback.advance();
         if !counted {
-            self.tally(viewer, &meter, late);
+            self.count_unbuffered_playback(viewer, &playback, late);
         }
-        self.enter_broken(viewer, !whole);
-        let rungs = meter.rungs.iter();
+        self.count_interruption(viewer, !completed);
+        let rungs = playback.seconds_by_rung.iter();
         let rung_times = rungs
             .map(|(rung, seconds)| RungTime::from((*rung, (seconds * 1e6) as i64)))
             .collect();
-        self.recorder.note(Record::SessionWatched {
+        self.recorder.record(Record::SessionWatched {
             time: shalewall_clock::now(),
-            request: ask,
+            request: request_id,
             session,
-            duration: TimeDelta::from_micros((meter.rungs.values().sum::<f64>() * 1e6) as i64),
-            bytes_received: meter.got,
-            bytes_expected: meter.due as u64,
+            duration: TimeDelta::from_micros(
+                (playback.seconds_by_rung.values().sum::<f64>() * 1e6) as i64,
+            ),
+            bytes_received: playback.bytes_received,
+            bytes_expected: playback.bytes_expected as u64,
             rung_times,
         });
-        if whole {
-            Try::Done
+        if completed {
+            AttemptOutcome::Completed
         } else {
-            Try::Again(self.crowd.retry_pause)
+            AttemptOutcome::Retry(self.population.retry_pause)
         }
     }
 }
 
-/// Opens a stream by its URL.
-pub(crate) async fn open(url: &str) -> Option<Incoming<async_io::Async<std::net::TcpStream>>> {
+/// Opens a media stream by its URL.
+pub(crate) async fn open_media(
+    url: &str,
+) -> Option<Incoming<async_io::Async<std::net::TcpStream>>> {
     let (host, path) = url.strip_prefix("http://")?.split_once('/')?;
     let target = format!("/{path}");
     let pool = Pool::new(host.parse().ok()?, Limits::default(), Duration::ZERO, 0);
@@ -522,62 +579,67 @@
     (head.status == 200).then_some(frames)
 }
 
-/// Counts what came, and what should have come, by the viewer's own clock.
-struct Meter {
+/// Measures received and expected media of a player without a buffer, by the viewer's clock.
+struct PlaybackMeter {
     buf: Vec<u8>,
-    got: u64,
-    due: f64,
-    rungs: BTreeMap<usize, f64>,
-    /// The frame in force: rung, full rate, since when.
-    now: Option<(usize, f64, Instant)>,
-    /// Bytes of the frame that are still to come.
-    left: usize,
-    recent: f64,
-    began: Instant,
-    /// Nothing counts from then on.
-    close: Option<Instant>,
-    steps: u64,
+    bytes_received: u64,
+    bytes_expected: f64,
+    seconds_by_rung: BTreeMap<usize, f64>,
+    /// Current frame: rung, full rate in bytes per second, and start time.
+    current_frame: Option<(usize, f64, Instant)>,
+    /// Bytes of the current frame that have not arrived yet.
+    frame_bytes_left: usize,
+    /// Moving average of the delivered fraction of the rate.
+    recent_delivery: f64,
+    started_at: Instant,
+    /// End of the day; playback after it does not count.
+    day_end: Option<Instant>,
+    rung_changes: u64,
 }
 
-impl Meter {
-    fn new(close: Option<Instant>) -> Meter {
-        Meter {
+impl PlaybackMeter {
+    fn new(day_end: Option<Instant>) -> PlaybackMeter {
+        PlaybackMeter {
             buf: Vec::new(),
-            got: 0,
-            due: 0.0,
-            rungs: BTreeMap::new(),
-            now: None,
-            left: 0,
-            recent: 1.0,
-            began: Instant::now(),
-            close,
-            steps: 0,
+            bytes_received: 0,
+            bytes_expected: 0.0,
+            seconds_by_rung: BTreeMap::new(),
+            current_frame: None,
+            frame_bytes_left: 0,
+            recent_delivery: 1.0,
+            started_at: Instant::now(),
+            day_end,
+            rung_changes: 0,
         }
     }
 
-    /// Time passes at the rung in force.
-    fn wait(&mut self) {
-        let Some((rung, rate, since)) = self.now else {
+    /// Accounts for the time since the last call at the current rung.
+    fn advance(&mut self) {
+        let Some((rung, rate, since)) = self.current_frame else {
             return;
         };
         let until = self
-            .close
+            .day_end
             .map_or_else(Instant::now, |t| t.min(Instant::now()));
         let time = until.saturating_duration_since(since).as_secs_f64();
-        self.due += rate * time;
-        *self.rungs.entry(rung).or_default() += time;
-        self.now = Some((rung, rate, Instant::now()));
+        self.bytes_expected += rate * time;
+        *self.seconds_by_rung.entry(rung).or_default() += time;
+        self.current_frame = Some((rung, rate, Instant::now()));
     }
 
-    fn take(&mut self, bytes: &[u8]) {
-        self.wait();
+    /// Adds received bytes, which may contain parts of several frames.
+    fn receive(&mut self, bytes: &[u8]) {
+        self.advance();
         let mut rest = bytes;
-        let (before, due) = (self.got, self.now.map_or(0.0, |(_, rate, _)| rate * 0.1));
+        let (bytes_before, bytes_due) = (
+            self.bytes_received,
+            self.current_frame.map_or(0.0, |(_, rate, _)| rate * 0.1),
+        );
         while !rest.is_empty() {
-            if self.left > 0 {
-                let n = self.left.min(rest.len());
-                self.got += n as u64;
-                self.left -= n;
+            if self.frame_bytes_left > 0 {
+                let n = self.frame_bytes_left.min(rest.len());
+                self.bytes_received += n as u64;
+                self.frame_bytes_left -= n;
                 rest = &rest[n..];
                 continue;
             }
@@ -586,21 +648,26 @@
             rest = &rest[n..];
             if let [rung, a, b, c, d, e, f, g, h] = self.buf[..] {
                 let rate = f64::from(u32::from_be_bytes([a, b, c, d]));
-                self.left = u32::from_be_bytes([e, f, g, h]) as usize;
+                self.frame_bytes_left = u32::from_be_bytes([e, f, g, h]) as usize;
                 let now = Instant::now();
-                let stepped = self.now.is_some_and(|(before, ..)| before != rung as usize);
-                self.steps += u64::from(stepped && self.close.is_none_or(|t| now < t));
-                self.now = Some((rung as usize, rate, now));
+                let rung_changed = self
+                    .current_frame
+                    .is_some_and(|(before, ..)| before != rung as usize);
+                self.rung_changes +=
+                    u64::from(rung_changed && self.day_end.is_none_or(|t| now < t));
+                self.current_frame = Some((rung as usize, rate, now));
                 self.buf.clear();
             }
         }
-        if due > 0.0 {
-            let share = ((self.got - before) as f64 / due).min(1.5);
-            self.recent += 0.05 * (share - self.recent);
+        if bytes_due > 0.0 {
+            let delivered_fraction =
+                ((self.bytes_received - bytes_before) as f64 / bytes_due).min(1.5);
+            self.recent_delivery += 0.05 * (delivered_fraction - self.recent_delivery);
         }
     }
 
-    fn poor(&self) -> bool {
-        self.recent < 0.75 && self.began.elapsed() > Duration::from_secs(3)
+    /// Whether too little media arrives for the viewer to stay.
+    fn is_poor(&self) -> bool {
+        self.recent_delivery < 0.75 && self.started_at.elapsed() > Duration::from_secs(3)
     }
 }
--- a/crates/scripted-days/src/director_processes.rs
+++ b/crates/scripted-days/src/director_processes.rs
@@ -87,11 +87,11 @@
         let Some(Ok(address)) = listening else {
             return Err(DayError::DirectorNotListening { number });
         };
-        self.recorder.note(Record::DirectorStarted {
+        self.recorder.record(Record::DirectorStarted {
             time: shalewall_clock::now(),
             director: number,
         });
-        self.viewers.set_front(number, address);
+        self.viewers.set_director(number, address);
         Ok(())
     }
 
@@ -116,7 +116,7 @@
         let Some(mut child) = self.running.borrow_mut().remove(&number) else {
             return Ok(());
         };
-        self.recorder.note(Record::DirectorKilled {
+        self.recorder.record(Record::DirectorKilled {
             time: shalewall_clock::now(),
             director: number,
         });
@@ -141,7 +141,7 @@
         async_io::Timer::after(time).await;
         self.signal(number, Signal::CONT);
         let until = shalewall_clock::now();
-        self.recorder.note(Record::DirectorStalled {
+        self.recorder.record(Record::DirectorStalled {
             time: stopped_at,
             director: number,
             until,
--- a/crates/scripted-days/src/emulation.rs
+++ b/crates/scripted-days/src/emulation.rs
@@ -1,8 +1,8 @@
 //! What a day's directors live among: emulated nodes, the endpoint list and viewers, all in this process.
 
 use async_executor::LocalExecutor;
-use shalewall_emulator::list::{Line, List};
-use shalewall_emulator::nodes::{Nodes, Telling};
+use shalewall_emulator::list::{EndpointEntry, EndpointList};
+use shalewall_emulator::nodes::{Nodes, NotificationSettings};
 use shalewall_emulator::recorder::Recorder;
 use shalewall_emulator::viewers::Viewers;
 use shalewall_fleet_model::fleet::Fleet;
@@ -50,7 +50,7 @@
     /// The media nodes.
     pub nodes: Nodes,
     /// The endpoint list.
-    pub list: List,
+    pub list: EndpointList,
     /// Where the list is watched.
     pub list_address: SocketAddr,
     /// Where the key of migration tickets is, where sessions are moved.
@@ -78,12 +78,13 @@
             notifications(plan, move_key.as_ref()),
         );
         let list_delay = millis(plan.fleet.list_delay_ms);
-        let (list, list_address) = List::start(executor.clone(), recorder.clone(), list_delay)?;
+        let (list, list_address) =
+            EndpointList::start(executor.clone(), recorder.clone(), list_delay)?;
         for machine in machines {
             let id = machine.id;
             nodes.start(machine, true)?;
             if let Some(entry) = endpoint(&nodes, id, "ready") {
-                list.tell(entry);
+                list.publish_now(entry);
             }
         }
         let viewers = Viewers::new(
@@ -107,25 +108,25 @@
     /// The list hears of a node's state, with the list's usual delay.
     pub(crate) fn announce(&self, node: u64, state: &'static str) {
         if let Some(entry) = endpoint(&self.nodes, node, state) {
-            self.list.change(entry);
+            self.list.publish(entry);
         }
     }
 
     /// The list hears of a node's state at once.
     pub(crate) fn announce_now(&self, node: u64, state: &'static str) {
         if let Some(entry) = endpoint(&self.nodes, node, state) {
-            self.list.tell(entry);
+            self.list.publish_now(entry);
         }
     }
 }
 
-fn notifications(plan: &DayPlan, move_key: Option<&MoveKey>) -> Telling {
-    Telling {
-        every: millis(plan.site.notifications.interval_ms),
-        late: millis(plan.site.notifications.delay_ms),
-        fraction: plan.day.media_fraction,
-        key: move_key.map(|move_key| move_key.key.clone()),
-        loads: plan.load.following_fraction > 0.0,
+fn notifications(plan: &DayPlan, move_key: Option<&MoveKey>) -> NotificationSettings {
+    NotificationSettings {
+        interval: millis(plan.site.notifications.interval_ms),
+        delay: millis(plan.site.notifications.delay_ms),
+        media_fraction: plan.day.media_fraction,
+        ticket_key: move_key.map(|move_key| move_key.key.clone()),
+        record_loads: plan.load.following_fraction > 0.0,
     }
 }
 
@@ -134,11 +135,11 @@
 }
 
 /// The list's entry of a node that is up.
-pub fn endpoint(nodes: &Nodes, id: u64, state: &'static str) -> Option<Line> {
+pub fn endpoint(nodes: &Nodes, id: u64, state: &'static str) -> Option<EndpointEntry> {
     let machine = nodes.machine(id)?;
     let up_since = nodes.up_since(id);
     let started = up_since.filter(|(_, warm)| !warm).map(|(at, _)| at);
-    Some(Line {
+    Some(EndpointEntry {
         server: id,
         address: nodes.address(id)?.to_string(),
         zone: machine.zone,
--- a/crates/scripted-days/src/faults.rs
+++ b/crates/scripted-days/src/faults.rs
@@ -124,7 +124,7 @@
         let emulation = &self.emulation;
         nodes.iter().for_each(|id| emulation.nodes.freeze(*id));
         self.wait_for_end().await;
-        nodes.iter().for_each(|id| emulation.nodes.thaw(*id));
+        nodes.iter().for_each(|id| emulation.nodes.resume(*id));
     }
 
     /// Another program takes a part of the nodes' links, on and off.
@@ -135,7 +135,7 @@
             let spell_s = (0.5 + 1.5 * self.rng.random::<f64>()).min(left_s);
             let is_active = self.rng.random::<f64>() < NEIGHBOUR_ACTIVE;
             let taken = if is_active { self.fault.size } else { 0.0 };
-            self.emulation.nodes.change(|fleet| {
+            self.emulation.nodes.modify_fleet(|fleet| {
                 for id in &nodes {
                     if let Some(node) = fleet.nodes.get_mut(id) {
                         node.competing_load = taken;
@@ -145,7 +145,7 @@
             Timer::after(seconds(spell_s)).await;
             left_s -= spell_s;
         }
-        self.emulation.nodes.change(|fleet| {
+        self.emulation.nodes.modify_fleet(|fleet| {
             for node in fleet.nodes.values_mut() {
                 node.competing_load = 0.0;
             }
@@ -154,9 +154,9 @@
 
     async fn slow_all_links(&self) {
         let nodes = &self.emulation.nodes;
-        nodes.change(|fleet| fleet.link_slowdown = self.fault.size);
+        nodes.modify_fleet(|fleet| fleet.link_slowdown = self.fault.size);
         self.wait_for_end().await;
-        nodes.change(|fleet| fleet.link_slowdown = 1.0);
+        nodes.modify_fleet(|fleet| fleet.link_slowdown = 1.0);
     }
 
     /// Nodes get slower for half of the time, then they crash for the other half.
@@ -166,7 +166,7 @@
         for step in 1..=AGEING_STEPS {
             let excess = (self.fault.size - 1.0).max(0.0);
             let slow = 1.0 + excess * f64::from(step) / f64::from(AGEING_STEPS);
-            self.emulation.nodes.change(|fleet| {
+            self.emulation.nodes.modify_fleet(|fleet| {
                 for id in &nodes {
                     if let Some(node) = fleet.nodes.get_mut(id) {
                         node.slowdown = slow;
@@ -197,28 +197,28 @@
     }
 
     async fn withdraw_list(&self) {
-        self.emulation.list.out(true);
+        self.emulation.list.set_outage(true);
         self.wait_for_end().await;
-        self.emulation.list.out(false);
+        self.emulation.list.set_outage(false);
     }
 
     async fn burst(&self) {
         let viewers = &self.emulation.viewers;
-        viewers.set_burst(self.fault.size);
+        viewers.set_rate_factor(self.fault.size);
         self.wait_for_end().await;
-        viewers.set_burst(1.0);
+        viewers.set_rate_factor(1.0);
     }
 
     async fn tenant_burst(&self) {
         let viewers = &self.emulation.viewers;
-        if viewers.crowd().tenants.is_empty() {
+        if viewers.population().tenants.is_empty() {
             // Where viewers name no tenant, one tenant's crowd is a crowd.
             return self.burst().await;
         }
         let tenant = self.fault.target_name.as_deref().unwrap_or_default();
-        viewers.set_tenant_burst(tenant, self.fault.size);
+        viewers.set_tenant_rate_factor(tenant, self.fault.size);
         self.wait_for_end().await;
-        viewers.set_tenant_burst(tenant, 1.0);
+        viewers.set_tenant_rate_factor(tenant, 1.0);
     }
 
     /// More viewers come for one title or of one class.
@@ -228,15 +228,15 @@
         let draw = match self.fault.kind {
             FaultKind::HotTitle => name.map(|name| Interest::Title(name.to_string())),
             _ => {
-                let crowd = viewers.crowd();
+                let crowd = viewers.population();
                 let mut classes = crowd.classes.iter();
                 let class = classes.position(|class| name == Some(class.name.as_str()));
                 class.map(Interest::Class)
             }
         };
-        viewers.set_extra(draw.map(|draw| (draw, self.fault.size)));
+        viewers.set_surge(draw.map(|draw| (draw, self.fault.size)));
         self.wait_for_end().await;
-        viewers.set_extra(None);
+        viewers.set_surge(None);
     }
 
     async fn kill_directors(&mut self) {
--- a/crates/scripted-days/src/run.rs
+++ b/crates/scripted-days/src/run.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use shalewall_audit::{Verdict, judge, review_migrations};
 use shalewall_emulator::recorder::Recorder;
-use shalewall_emulator::viewers::Count;
+use shalewall_emulator::viewers::ViewerResults;
 use shalewall_settings::DayPlan;
 use std::io;
 use std::path::Path;
@@ -80,7 +80,7 @@
 
 /// What a day came to before it is judged.
 struct Played {
-    count: Count,
+    count: ViewerResults,
     shortfall: Shortfall,
 }
 
@@ -112,7 +112,7 @@
     }
     let viewers = emulation.viewers.clone();
     let length = Duration::from_secs_f64(plan.day.seconds);
-    let arrivals = executor.spawn(async move { viewers.arrive(length).await });
+    let arrivals = executor.spawn(async move { viewers.run_arrivals(length).await });
     let timer_delay = watch_day(&emulation, &arrivals, progress).await;
     directors.stop();
     Ok(played(&emulation, timer_delay))
@@ -134,7 +134,7 @@
         progress(&progress_line(emulation, began.elapsed()));
         if arrivals.is_finished() {
             let over = *arrivals_over.get_or_insert_with(Instant::now);
-            if emulation.viewers.here() == 0 || over.elapsed() >= GRACE {
+            if emulation.viewers.active_viewers() == 0 || over.elapsed() >= GRACE {
                 return max_delay;
             }
         }
@@ -142,12 +142,12 @@
 }
 
 fn progress_line(emulation: &Emulation, elapsed: Duration) -> String {
-    let count = emulation.viewers.count.borrow().tallies.all.clone();
+    let count = emulation.viewers.results.borrow().totals.all.clone();
     format!(
         "{:>4.0} s  {} asked, {} play now, {} refused, {} failed, {} without an answer",
         elapsed.as_secs_f64(),
         count.requested,
-        emulation.nodes.playing(),
+        emulation.nodes.session_count(),
         count.rejected,
         count.failed,
         count.unanswered
@@ -155,12 +155,13 @@
 }
 
 fn played(emulation: &Emulation, timer_delay: Duration) -> Played {
-    let mut count = emulation.viewers.count.borrow().clone();
-    count.lag = emulation.viewers.lag.get();
-    let viewer_delay = Duration::from_micros(count.lag.max(0) as u64);
+    let mut count = emulation.viewers.results.borrow().clone();
+    count.max_timer_delay_us = emulation.viewers.max_timer_delay_us.get();
+    let viewer_delay = Duration::from_micros(count.max_timer_delay_us.max(0) as u64);
     let shortfall = Shortfall {
         timer_delay: timer_delay.max(viewer_delay),
-        failed_connections: emulation.nodes.lacked() + emulation.viewers.lacked.get(),
+        failed_connections: emulation.nodes.local_resource_errors()
+            + emulation.viewers.local_resource_errors.get(),
     };
     Played { count, shortfall }
 }
--- a/crates/scripted-days/src/summary.rs
+++ b/crates/scripted-days/src/summary.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use shalewall_audit::{MigrationReport, Verdict};
-use shalewall_emulator::viewers::Count;
+use shalewall_emulator::viewers::ViewerResults;
 use shalewall_fleet_model::totals::ViewerTotals;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -122,17 +122,17 @@
 impl Summary {
     /// The summary of what was counted and judged.
     pub fn new(
-        count: &Count,
+        count: &ViewerResults,
         verdict: &Verdict,
         migrations: Option<MigrationReport>,
         shortfall: &Shortfall,
     ) -> Summary {
-        let tenants = count.tallies.tenants.iter();
-        let waits = count.took.iter();
+        let tenants = count.totals.tenants.iter();
+        let waits = count.latencies_us.iter();
         let coverage = verdict.coverage.iter();
         let findings = verdict.findings.iter();
         Summary {
-            all: ViewerFigures::new(&count.tallies.all),
+            all: ViewerFigures::new(&count.totals.all),
             tenants: tenants
                 .map(|(name, tally)| (name.clone(), ViewerFigures::new(tally)))
                 .collect(),
--- a/crates/scripted-days/tests/wrong_front.rs
+++ b/crates/scripted-days/tests/wrong_front.rs
@@ -123,12 +123,12 @@
             .unwrap();
         emulation
             .list
-            .tell(endpoint(&emulation.nodes, ids[0], "ready").unwrap());
+            .publish_now(endpoint(&emulation.nodes, ids[0], "ready").unwrap());
     }
     if wrong == Wrong::IgnoresDrains {
         emulation
             .list
-            .tell(endpoint(&emulation.nodes, ids[0], "draining").unwrap());
+            .publish_now(endpoint(&emulation.nodes, ids[0], "draining").unwrap());
     }
     let nodes = ids
         .iter()
@@ -151,12 +151,12 @@
     })
     .detach();
     // As the day does: the director is up, and its node streams stand in for its lease.
-    emulation.recorder.note(Record::DirectorStarted {
+    emulation.recorder.record(Record::DirectorStarted {
         time: shalewall_clock::now(),
         director: 0,
     });
-    emulation.viewers.set_front(0, address);
-    emulation.viewers.arrive(Duration::from_secs(3)).await;
+    emulation.viewers.set_director(0, address);
+    emulation.viewers.run_arrivals(Duration::from_secs(3)).await;
     Timer::after(Duration::from_millis(5500)).await;
 }
 
