--- a/crates/emulator/src/nodes/migration.rs
+++ b/crates/emulator/src/nodes/migration.rs
@@ -282,8 +282,8 @@
             .map(|h| h.epochs(SessionId(attempt_id.session)))
             .unwrap_or_default();
         Some(serde_json::json!({
-            "session": attempt_id.session, "attempt": attempt_id.attempt, "viewer": p.viewer, "tenant": p.tenant, "class": p.class,
-            "title": p.title, "rung": p.rung, "serving": epochs.serving, "prepared": epochs.prepared, "media": media,
+            "session": attempt_id.session, "attempt": attempt_id.attempt, "viewer": p.viewer, "tenant": p.tenant,
+            "class": p.class, "title": p.title, "rung": p.rung, "serving": epochs.serving, "prepared": epochs.prepared, "media": media,
         }))
     }
 
--- a/crates/scripted-days/src/director_processes.rs
+++ b/crates/scripted-days/src/director_processes.rs
@@ -1,4 +1,4 @@
-//! Directors of a day: processes of their own, started, stopped, killed by their own id.
+//! Directors of a day, each a child process that is started, suspended and killed by its process id.
 
 use crate::emulation::Emulation;
 use crate::error::DayError;
@@ -17,13 +17,13 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::time::Duration;
 
-/// A director has to listen within this.
+/// Time within which a director has to report its listening address.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Sessions of a director that is not one of a hosted day.
+/// Session limit of a director on a day without a hosted service.
 const MAX_SESSIONS: usize = 100_000;
-/// Viewers' connections of each director.
+/// Limit of viewer connections of each director.
 const MAX_CONNECTIONS: usize = 20_000;
-/// A node's event stream without any byte for so long counts as broken.
+/// Time without any byte after which a director treats a node's event stream as broken.
 const STREAM_TIMEOUT_MS: u64 = 3_000;
 
 /// The directors of a day.
@@ -37,7 +37,7 @@
 }
 
 impl DirectorProcesses {
-    /// Those of a day, none of them started yet.
+    /// Creates the directors of a day without starting them.
     pub fn new(
         plan: &DayPlan,
         program: &Path,
@@ -45,7 +45,7 @@
         emulation: &Emulation,
         hosting: Option<Hosting>,
     ) -> DirectorProcesses {
-        // Of hosted tenants directors hear by roll-out alone.
+        // Directors receive the tenants of a hosted service by roll-out only, not from their settings.
         let mut site = plan.site.clone();
         site.tenants.retain(|_, _| hosting.is_none());
         let plans = (0..plan.day.directors).map(|number| ServerConfig {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Numbers of those that are of this zone, or all.
+    /// Numbers of the directors in a zone, or of all directors without one.
     pub fn numbers(&self, zone: Option<&str>) -> Vec<u32> {
         let directors = self.plans.iter().map(|plan| &plan.front);
         directors
@@ -72,7 +72,7 @@
             .collect()
     }
 
-    /// Starts one and waits until it listens.
+    /// Starts a director and waits until it listens.
     pub async fn start(&self, number: u32) -> Result<(), DayError> {
         let settings = self.out.join(format!("director-{number}.hcl"));
         let plan = &self.plans[number as usize];
@@ -111,7 +111,7 @@
         options.create(true).append(true).open(file)
     }
 
-    /// Kills one outright.
+    /// Kills a director with SIGKILL.
     pub fn kill(&self, number: u32) -> io::Result<()> {
         let Some(mut child) = self.running.borrow_mut().remove(&number) else {
             return Ok(());
@@ -124,7 +124,7 @@
         child.wait().map(|_| ())
     }
 
-    /// Sends a signal; whether there was a process to take it.
+    /// Sends a signal to a director. Returns whether it was delivered to a running process.
     fn signal(&self, number: u32, signal: Signal) -> bool {
         let running = self.running.borrow();
         let child = running.get(&number);
@@ -132,7 +132,7 @@
         pid.is_some_and(|pid| kill_process(pid, signal).is_ok())
     }
 
-    /// Lets one stand still for a while.
+    /// Suspends a director's process for a duration.
     pub async fn stall(&self, number: u32, time: Duration) {
         let stopped_at = shalewall_clock::now();
         if !self.signal(number, Signal::STOP) {
@@ -148,7 +148,7 @@
         });
     }
 
-    /// Ends all of them.
+    /// Kills all directors.
     pub fn stop(&self) {
         for (_, mut child) in std::mem::take(&mut *self.running.borrow_mut()) {
             let _ = child.kill();
@@ -177,11 +177,11 @@
         max_connections: MAX_CONNECTIONS,
         stream_timeout_ms: STREAM_TIMEOUT_MS,
         shutdown_grace_s: 0.0,
-        ticket_key_file: emulation.move_key_file.clone(),
+        ticket_key_file: emulation.migration_key_file.clone(),
     }
 }
 
-/// Writes a director's standard error to its log, and sends the address that it listens on.
+/// Copies a director's standard error to its log file, and sends the address on which it listens.
 fn copy_log(stderr: ChildStderr, mut log: File, address: &Sender<SocketAddr>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         let _ = writeln!(log, "{line}");
@@ -191,7 +191,7 @@
     }
 }
 
-/// The address in the log event of a director that has begun to listen.
+/// Parses the address from the `listening` log event of a director.
 fn listening_address(line: &str) -> Option<SocketAddr> {
     let event: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = &event["fields"];
--- a/crates/scripted-days/src/emulation.rs
+++ b/crates/scripted-days/src/emulation.rs
@@ -1,4 +1,4 @@
-//! What a day's directors live among: emulated nodes, the endpoint list and viewers, all in this process.
+//! Emulated environment of a day's directors: nodes, endpoint list and viewers, all in this process.
 
 use async_executor::LocalExecutor;
 use shalewall_emulator::list::{EndpointEntry, EndpointList};
@@ -15,22 +15,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the seed of the fleet differs in from the day's.
+/// Combined with the day's seed by XOR for the seed of the fleet.
 const FLEET_SEED: u64 = 1;
-/// What the seed of the viewers differs in from the day's.
+/// Combined with the day's seed by XOR for the seed of the viewers.
 const VIEWER_SEED: u64 = 3;
 
-/// The key of a day's migration tickets, and the file that directors read it from.
-pub struct MoveKey {
-    /// The file.
+/// Key of a day's migration tickets, and the file from which directors read it.
+pub struct MigrationKey {
+    /// File that contains the key.
     pub file: PathBuf,
-    /// The key in it.
+    /// The key.
     pub key: TicketKey,
 }
 
-impl MoveKey {
-    /// Draws a key and writes it to a file of `out`; none where the day's sessions are not moved.
-    pub fn create(plan: &DayPlan, out: &Path) -> io::Result<Option<MoveKey>> {
+impl MigrationKey {
+    /// Generates a key and writes it to a file in `out`. Returns `None` if the day has no session migration.
+    pub fn create(plan: &DayPlan, out: &Path) -> io::Result<Option<MigrationKey>> {
         if plan.site.moves.is_none() {
             return Ok(None);
         }
@@ -39,35 +39,35 @@
         let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         std::fs::write(&file, digits)?;
         let key = TicketKey::new(bytes);
-        Ok(Some(MoveKey { file, key }))
+        Ok(Some(MigrationKey { file, key }))
     }
 }
 
-/// The emulated parts of a day, under way.
+/// Running emulation of a day's nodes, endpoint list and viewers.
 pub struct Emulation {
-    /// Runs them all.
+    /// Executor of all emulated parts.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The media nodes.
     pub nodes: Nodes,
     /// The endpoint list.
     pub list: EndpointList,
-    /// Where the list is watched.
+    /// Address of the endpoint list.
     pub list_address: SocketAddr,
-    /// Where the key of migration tickets is, where sessions are moved.
-    pub move_key_file: Option<PathBuf>,
-    /// The viewers, which have not come yet.
+    /// File with the key of migration tickets, if the day has session migration.
+    pub migration_key_file: Option<PathBuf>,
+    /// The viewers; their arrivals are started separately.
     pub viewers: Viewers,
-    /// Takes down what passes on the sockets.
+    /// Recorder of the events on the sockets.
     pub recorder: Recorder,
 }
 
 impl Emulation {
-    /// Starts nodes and list, and readies the viewers.
+    /// Starts nodes and endpoint list, and creates the viewers.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         plan: &DayPlan,
         recorder: Recorder,
-        move_key: Option<MoveKey>,
+        migration_key: Option<MigrationKey>,
     ) -> io::Result<Emulation> {
         let seed = plan.day.seed;
         let (physics, machines) = plan::fleet(plan);
@@ -75,7 +75,7 @@
             executor.clone(),
             Fleet::new(physics, seed ^ FLEET_SEED),
             recorder.clone(),
-            notifications(plan, move_key.as_ref()),
+            notifications(plan, migration_key.as_ref()),
         );
         let list_delay = millis(plan.fleet.list_delay_ms);
         let (list, list_address) =
@@ -99,20 +99,20 @@
             nodes,
             list,
             list_address,
-            move_key_file: move_key.map(|move_key| move_key.file),
+            migration_key_file: migration_key.map(|migration_key| migration_key.file),
             viewers,
             recorder,
         })
     }
 
-    /// The list hears of a node's state, with the list's usual delay.
+    /// Publishes a node's state in the endpoint list with the list's delay.
     pub(crate) fn announce(&self, node: u64, state: &'static str) {
         if let Some(entry) = endpoint(&self.nodes, node, state) {
             self.list.publish(entry);
         }
     }
 
-    /// The list hears of a node's state at once.
+    /// Publishes a node's state in the endpoint list without delay.
     pub(crate) fn announce_now(&self, node: u64, state: &'static str) {
         if let Some(entry) = endpoint(&self.nodes, node, state) {
             self.list.publish_now(entry);
@@ -120,12 +120,12 @@
     }
 }
 
-fn notifications(plan: &DayPlan, move_key: Option<&MoveKey>) -> NotificationSettings {
+fn notifications(plan: &DayPlan, migration_key: Option<&MigrationKey>) -> NotificationSettings {
     NotificationSettings {
         interval: millis(plan.site.notifications.interval_ms),
         delay: millis(plan.site.notifications.delay_ms),
         media_fraction: plan.day.media_fraction,
-        ticket_key: move_key.map(|move_key| move_key.key.clone()),
+        ticket_key: migration_key.map(|migration_key| migration_key.key.clone()),
         record_loads: plan.load.following_fraction > 0.0,
     }
 }
@@ -134,7 +134,7 @@
     Duration::from_secs_f64(millis / 1000.0)
 }
 
-/// The list's entry of a node that is up.
+/// Endpoint list entry of a node. Returns `None` if the node was never started.
 pub fn endpoint(nodes: &Nodes, id: u64, state: &'static str) -> Option<EndpointEntry> {
     let machine = nodes.machine(id)?;
     let up_since = nodes.up_since(id);
--- a/crates/scripted-days/src/error.rs
+++ b/crates/scripted-days/src/error.rs
@@ -1,53 +1,53 @@
-//! Why a day could not be run.
+//! Errors of running a day.
 
 use shalewall_store::StoreError;
 use std::io;
 use thiserror::Error;
 
-/// Why a day could not be run.
+/// Error of running a day.
 #[derive(Debug, Error)]
 pub enum DayError {
-    /// The day has more directors than one machine runs as processes.
+    /// The day has more directors than one machine can run as processes.
     #[error("{limit} directors at most can be run as processes of one machine")]
     TooManyDirectors {
-        /// How many it runs.
+        /// Maximum number of directors.
         limit: u32,
     },
-    /// This process may not have as many descriptors as the day needs.
+    /// The descriptor limit of this process is too low for the day.
     #[error("the day needs some {needed} descriptors, and this process may have {available}")]
     TooFewDescriptors {
-        /// What the day needs at the most that it lets expect.
+        /// Estimated upper bound of the descriptors that the day needs.
         needed: u64,
-        /// What this process may have.
+        /// Descriptor limit of this process.
         available: u64,
     },
-    /// A director's process did not say in time where it listens.
+    /// A director's process did not report its listening address in time.
     #[error("director {number} does not listen: see its log")]
     DirectorNotListening {
         /// Its number.
         number: u32,
     },
     /// A director's process has no standard error to read.
-    #[error("no log of a director")]
+    #[error("standard error of a director process is not available")]
     NoDirectorLog,
-    /// A director's settings can't be written as a file.
+    /// A director's settings could not be serialized.
     #[error(transparent)]
     Settings(#[from] hcl::Error),
     /// The store of the hosted service failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A tenant of the plan can't be one of the service.
+    /// The hosted service rejected a tenant of the plan.
     #[error("tenant {name}: {reason}")]
     Tenant {
-        /// Its name in the plan.
+        /// Name of the tenant in the plan.
         name: String,
-        /// What the service says of it.
+        /// Error of the service.
         reason: String,
     },
-    /// Files, sockets or processes failed.
+    /// Error of a file, socket or process.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Rules or the summary can't be written as JSON.
+    /// Rules or the summary could not be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
--- a/crates/scripted-days/src/faults.rs
+++ b/crates/scripted-days/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a day, injected into emulated nodes, list and viewers and into the directors' processes.
+//! Injection of a day's faults into emulated nodes, endpoint list and viewers, and into the directors' processes.
 
 use crate::director_processes::DirectorProcesses;
 use crate::emulation::Emulation;
@@ -11,23 +11,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The sockets of a node that crashed are closed by then, and its address is free.
-const SOCKET_CLOSE: Duration = Duration::from_millis(100);
-/// Steps in which an ageing node gets slower.
+/// Time after which the sockets of a crashed node are closed and its address can be bound again.
+const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(100);
+/// Number of steps in which an ageing node gets slower.
 const AGEING_STEPS: i32 = 10;
-/// Part of the spells in which a neighbour takes its share of the link.
-const NEIGHBOUR_ACTIVE: f64 = 0.7;
-/// Numbers of replacement machines lie so far above those that they replace.
+/// Fraction of the intervals in which a noisy neighbour uses its share of the link.
+const NEIGHBOUR_ACTIVE_FRACTION: f64 = 0.7;
+/// Difference between the number of a replacement machine and the number of the machine that it replaces.
 const REPLACEMENT_OFFSET: u64 = 1000;
 
-/// The seed of what is drawn for a fault: each name has draws of its own.
+/// Seed of a fault's random numbers, derived from the day's seed and the fault's name.
 pub fn seed(day_seed: u64, name: &str) -> u64 {
     name.bytes().fold(day_seed, |hash, byte| {
         hash.wrapping_mul(31).wrapping_add(u64::from(byte))
     })
 }
 
-/// Injects one fault, from its beginning to its end.
+/// Waits for the start of a fault, injects it, and returns after its end.
 pub async fn inject(
     emulation: Rc<Emulation>,
     directors: Rc<DirectorProcesses>,
@@ -48,7 +48,7 @@
     Duration::from_secs_f64(seconds.max(0.0))
 }
 
-/// A fault under way.
+/// A fault in progress.
 struct Injection {
     emulation: Rc<Emulation>,
     directors: Rc<DirectorProcesses>,
@@ -63,16 +63,16 @@
                 let nodes = self.choose_nodes();
                 self.crash_and_restart(&nodes, self.fault.duration_s).await;
             }
-            FaultKind::Vanish => self.vanish().await,
-            FaultKind::Hang => self.hang().await,
-            FaultKind::Neighbour => self.crowd_links().await,
+            FaultKind::Vanish => self.isolate_nodes().await,
+            FaultKind::Hang => self.freeze_nodes().await,
+            FaultKind::Neighbour => self.load_links().await,
             FaultKind::SharedSlow => self.slow_all_links().await,
-            FaultKind::Ageing => self.age().await,
-            FaultKind::Preempt => self.preempt().await,
+            FaultKind::Ageing => self.degrade_nodes().await,
+            FaultKind::Preempt => self.preempt_nodes().await,
             FaultKind::ZoneLoss => self.lose_zone().await,
-            FaultKind::ListOut => self.withdraw_list().await,
-            FaultKind::Burst => self.burst().await,
-            FaultKind::TenantBurst => self.tenant_burst().await,
+            FaultKind::ListOut => self.interrupt_list().await,
+            FaultKind::Burst => self.increase_arrivals().await,
+            FaultKind::TenantBurst => self.increase_tenant_arrivals().await,
             FaultKind::HotTitle | FaultKind::ClassFlood => self.add_viewers().await,
             FaultKind::DirectorKill => self.kill_directors().await,
             FaultKind::DirectorStall => self.stall_directors().await,
@@ -83,22 +83,22 @@
         Timer::after(seconds(self.fault.duration_s)).await;
     }
 
-    /// The nodes that the fault meets.
+    /// Chooses the nodes that the fault affects.
     fn choose_nodes(&mut self) -> Vec<u64> {
         let running = self.emulation.nodes.running();
         self.choose(running)
     }
 
-    /// The directors that the fault meets.
+    /// Chooses the directors that the fault affects.
     fn choose_directors(&mut self) -> Vec<u32> {
         let numbers = self.directors.numbers(None);
         self.choose(numbers)
     }
 
-    /// Those that the fault meets: as told, or its part of them, at least one.
+    /// Chooses the fault's explicit targets, or else a random fraction of all candidates, at least one.
     fn choose<T: Copy + Into<u64>>(&mut self, mut all: Vec<T>) -> Vec<T> {
-        if let Some(on) = &self.fault.targets {
-            all.retain(|one| on.contains(&(*one).into()));
+        if let Some(targets) = &self.fault.targets {
+            all.retain(|one| targets.contains(&(*one).into()));
             return all;
         }
         let wanted = (self.fault.fraction * all.len() as f64).round() as usize;
@@ -107,19 +107,20 @@
         all
     }
 
-    async fn vanish(&mut self) {
+    async fn isolate_nodes(&mut self) {
         let nodes = self.choose_nodes();
         let emulation = &self.emulation;
         nodes.iter().for_each(|id| emulation.nodes.freeze(*id));
-        // Gone without a byte: the list hears late, and what comes back is new.
+        // The nodes become unreachable without closing their connections; the list reports it with its delay, and they
+        // come back as new processes.
         nodes.iter().for_each(|id| emulation.announce(*id, "gone"));
         self.wait_for_end().await;
         nodes.iter().for_each(|id| emulation.nodes.crash(*id));
-        Timer::after(SOCKET_CLOSE).await;
+        Timer::after(SOCKET_CLOSE_TIME).await;
         nodes.iter().for_each(|id| restart(emulation, *id));
     }
 
-    async fn hang(&mut self) {
+    async fn freeze_nodes(&mut self) {
         let nodes = self.choose_nodes();
         let emulation = &self.emulation;
         nodes.iter().for_each(|id| emulation.nodes.freeze(*id));
@@ -127,18 +128,18 @@
         nodes.iter().for_each(|id| emulation.nodes.resume(*id));
     }
 
-    /// Another program takes a part of the nodes' links, on and off.
-    async fn crowd_links(&mut self) {
+    /// Puts an intermittent competing load on the nodes' links.
+    async fn load_links(&mut self) {
         let nodes = self.choose_nodes();
         let mut left_s = self.fault.duration_s;
         while left_s > 0.0 {
             let spell_s = (0.5 + 1.5 * self.rng.random::<f64>()).min(left_s);
-            let is_active = self.rng.random::<f64>() < NEIGHBOUR_ACTIVE;
-            let taken = if is_active { self.fault.size } else { 0.0 };
+            let is_active = self.rng.random::<f64>() < NEIGHBOUR_ACTIVE_FRACTION;
+            let competing_load = if is_active { self.fault.size } else { 0.0 };
             self.emulation.nodes.modify_fleet(|fleet| {
                 for id in &nodes {
                     if let Some(node) = fleet.nodes.get_mut(id) {
-                        node.competing_load = taken;
+                        node.competing_load = competing_load;
                     }
                 }
             });
@@ -159,8 +160,8 @@
         nodes.modify_fleet(|fleet| fleet.link_slowdown = 1.0);
     }
 
-    /// Nodes get slower for half of the time, then they crash for the other half.
-    async fn age(&mut self) {
+    /// Slows nodes down for the first half of the fault, and keeps them down after a crash for the second half.
+    async fn degrade_nodes(&mut self) {
         let nodes = self.choose_nodes();
         let half_s = self.fault.duration_s / 2.0;
         for step in 1..=AGEING_STEPS {
@@ -196,24 +197,24 @@
         start_all(&self.directors, &lost_directors).await;
     }
 
-    async fn withdraw_list(&self) {
+    async fn interrupt_list(&self) {
         self.emulation.list.set_outage(true);
         self.wait_for_end().await;
         self.emulation.list.set_outage(false);
     }
 
-    async fn burst(&self) {
+    async fn increase_arrivals(&self) {
         let viewers = &self.emulation.viewers;
         viewers.set_rate_factor(self.fault.size);
         self.wait_for_end().await;
         viewers.set_rate_factor(1.0);
     }
 
-    async fn tenant_burst(&self) {
+    async fn increase_tenant_arrivals(&self) {
         let viewers = &self.emulation.viewers;
         if viewers.population().tenants.is_empty() {
-            // Where viewers name no tenant, one tenant's crowd is a crowd.
-            return self.burst().await;
+            // Without tenants the burst applies to all viewers.
+            return self.increase_arrivals().await;
         }
         let tenant = self.fault.target_name.as_deref().unwrap_or_default();
         viewers.set_tenant_rate_factor(tenant, self.fault.size);
@@ -221,20 +222,20 @@
         viewers.set_tenant_rate_factor(tenant, 1.0);
     }
 
-    /// More viewers come for one title or of one class.
+    /// Adds viewers that request one title or one class.
     async fn add_viewers(&self) {
         let viewers = &self.emulation.viewers;
         let name = self.fault.target_name.as_deref();
-        let draw = match self.fault.kind {
+        let interest = match self.fault.kind {
             FaultKind::HotTitle => name.map(|name| Interest::Title(name.to_string())),
             _ => {
-                let crowd = viewers.population();
-                let mut classes = crowd.classes.iter();
+                let population = viewers.population();
+                let mut classes = population.classes.iter();
                 let class = classes.position(|class| name == Some(class.name.as_str()));
                 class.map(Interest::Class)
             }
         };
-        viewers.set_surge(draw.map(|draw| (draw, self.fault.size)));
+        viewers.set_surge(interest.map(|interest| (interest, self.fault.size)));
         self.wait_for_end().await;
         viewers.set_surge(None);
     }
@@ -246,7 +247,7 @@
         start_all(&self.directors, &numbers).await;
     }
 
-    /// Directors stand still together, again and again.
+    /// Suspends directors repeatedly, all at the same time.
     async fn stall_directors(&mut self) {
         let numbers = self.choose_directors();
         let stall = seconds(self.fault.stall_ms / 1000.0);
@@ -274,15 +275,16 @@
         nodes.iter().for_each(|id| restart(emulation, *id));
     }
 
-    /// Taken away in waves: listed as draining, dead soon after, replaced by new machines that are cold.
-    async fn preempt(&mut self) {
+    /// Preempts nodes in waves: each is listed as draining, crashes after the notice, and is replaced by a cold
+    /// machine.
+    async fn preempt_nodes(&mut self) {
         let nodes = self.choose_nodes();
         let waves = self.fault.waves;
         let half_s = self.fault.duration_s / 2.0;
         let wave_interval = seconds(half_s / f64::from(waves));
         for wave in nodes.chunks(nodes.len().div_ceil(waves as usize).max(1)) {
             for id in wave {
-                // A notice is known at once: the list has it from who takes the machines away.
+                // The preemption notice reaches the endpoint list without its usual delay.
                 self.emulation.announce_now(*id, "draining");
             }
             let notice = seconds(self.fault.notice_ms / 1000.0);
@@ -298,7 +300,7 @@
     }
 }
 
-/// Crashes nodes after a notice, and starts other machines in the same cells later.
+/// Crashes nodes after a notice period, and later starts replacement machines in the same cells.
 async fn replace_nodes(
     emulation: Rc<Emulation>,
     nodes: Vec<u64>,
--- a/crates/scripted-days/src/hosted_service.rs
+++ b/crates/scripted-days/src/hosted_service.rs
@@ -1,4 +1,4 @@
-//! The hosted service of a day: a store, the administration API in this process, and the plan's tenants in it.
+//! Hosted service of a day: the store with the plan's tenants, and the administration API in this process.
 
 use crate::error::DayError;
 use async_executor::LocalExecutor;
@@ -14,10 +14,10 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// A director that is silent for so long is taken for gone.
-const FORGET_DIRECTOR_MS: u64 = 10_000;
+/// Time without a report after which the service considers a director gone.
+const DIRECTOR_TIMEOUT_MS: u64 = 10_000;
 
-/// Starts it; it runs as long as the executor does. Returns what directors are to be told of it.
+/// Starts the hosted service, which runs as long as the executor. Returns the hosting settings for directors.
 pub fn start(
     executor: &Rc<LocalExecutor<'static>>,
     plan: &DayPlan,
@@ -31,7 +31,7 @@
     }
     let token_file = out.join("front.token");
     std::fs::write(&token_file, token)?;
-    let api = Rc::new(Api::new(store, unix_time_millis(), FORGET_DIRECTOR_MS));
+    let api = Rc::new(Api::new(store, unix_time_millis(), DIRECTOR_TIMEOUT_MS));
     let admin = start_server(executor, ([127, 0, 0, 1], 0).into(), api)?;
     Ok(Hosting {
         admin,
@@ -40,7 +40,7 @@
     })
 }
 
-/// The store's file, without what an earlier day left in it.
+/// Path of the store's file, after deleting the file of an earlier day.
 fn new_store_file(out: &Path) -> io::Result<std::path::PathBuf> {
     let file = out.join("tenants.redb");
     if file.exists() {
@@ -50,11 +50,12 @@
 }
 
 fn create_tenant(store: &Store, site: &Site, name: &str, tenant: &Tenant) -> Result<(), DayError> {
-    let refused = |reason: String| DayError::Tenant {
+    let tenant_error = |reason: String| DayError::Tenant {
         name: name.to_string(),
         reason,
     };
-    let id = TenantId::try_from(name.to_string()).map_err(|error| refused(error.to_string()))?;
+    let id =
+        TenantId::try_from(name.to_string()).map_err(|error| tenant_error(error.to_string()))?;
     let context = ChangeContext {
         actor: "day",
         now: unix_time_millis(),
@@ -63,11 +64,11 @@
     };
     let change = Change::Create(terms(site, name, tenant.share));
     let created = store.change_tenant(&id, &change, &context, None);
-    created.map_err(|error| refused(error.to_string()))?;
+    created.map_err(|error| tenant_error(error.to_string()))?;
     Ok(())
 }
 
-/// What a tenant of the plan is agreed on: the site's classes are its own.
+/// Terms of a tenant of the plan: its share, and the site's classes as its own.
 fn terms(site: &Site, name: &str, share: f64) -> serde_json::Value {
     let classes = site.classes.iter();
     let classes: serde_json::Map<_, _> = classes
--- a/crates/scripted-days/src/import.rs
+++ b/crates/scripted-days/src/import.rs
@@ -1,7 +1,7 @@
-//! A day file of the bench, turned into a script. What has no counterpart, or only a rough one, is listed.
+//! Converts a day file of the benchmark to a script, and lists what has no counterpart or only an approximate one.
 //!
-//! [`error`] says what can be wrong with a day file; `reader` reads its values by their paths, `site`, `fleet`,
-//! `load` and `faults` make the parts of a script of them.
+//! [`error`] defines the errors of a day file, `reader` reads its values by their paths, and `site`, `fleet`, `load`
+//! and `faults` convert them to the parts of a script.
 
 pub mod error;
 mod faults;
@@ -16,17 +16,17 @@
 use serde_json::Value;
 use shalewall_settings::{Day, DayPlan};
 
-/// A script, and what of the day is not in it as it was.
+/// A script, and the parts of the day file that were left out or changed.
 #[derive(Debug)]
 pub struct Imported {
     /// The script.
     pub plan: DayPlan,
-    /// What was left out or changed, a line each.
+    /// What was left out or changed, one line each.
     pub left_out: Vec<String>,
 }
 
 impl Imported {
-    /// The script's text, with what was left out at its head.
+    /// Text of the script, with a header comment that lists what was left out or changed.
     pub fn script(&self) -> Result<String, hcl::Error> {
         let mut text = String::from("# Imported from a day of the bench. Left out or changed:\n");
         for line in &self.left_out {
@@ -37,7 +37,7 @@
     }
 }
 
-/// What is never in a script as it is in a day file.
+/// Parts of every day file that a script leaves out or changes.
 const ALWAYS_LEFT_OUT: [&str; 6] = [
     "net: delays and jitter are those of this machine's loopback",
     "sessions that play when the day begins: the day begins empty",
@@ -47,7 +47,7 @@
     "connections: handshakes, caps and idle times are this machine's",
 ];
 
-/// Turns the text of a day file into a script.
+/// Converts the text of a day file to a script.
 pub fn import(text: &str) -> Result<Imported, ImportError> {
     let value: Value = serde_json::from_str(text)?;
     let day = Reader::new(&value);
@@ -61,7 +61,7 @@
     let seconds = (day.at("length").number()? / 1e6).clamp(1.0, 3600.0);
     let directors = director_count(&day)?;
     let load = load::load(&day, &site)?;
-    let trouble = faults::faults(&day, &site, seconds, &mut left_out)?;
+    let faults = faults::faults(&day, &site, seconds, &mut left_out)?;
     if !site.tenants.is_empty() {
         let what = "tenants: viewers do not name theirs, so their shares are not played";
         left_out.push(what.to_string());
@@ -79,12 +79,12 @@
         fleet,
         load,
         hosted: None,
-        faults: trouble,
+        faults,
     };
     Ok(Imported { plan, left_out })
 }
 
-/// The tier that is imported: a script has one.
+/// The first tier of the day file, the only one that a script can have.
 fn first_tier<'v>(day: &Reader<'v>, left_out: &mut Vec<String>) -> Result<Reader<'v>, ImportError> {
     let tiers = day.at("tiers").list()?;
     let Some((first, others)) = tiers.split_first() else {
--- a/crates/scripted-days/src/import/error.rs
+++ b/crates/scripted-days/src/import/error.rs
@@ -1,45 +1,45 @@
-//! Why a day file of the bench can't be turned into a script.
+//! Errors of importing a day file of the benchmark.
 
 use thiserror::Error;
 
-/// Why a day file of the bench can't be turned into a script.
+/// Error of importing a day file of the benchmark.
 #[derive(Debug, Error)]
 pub enum ImportError {
-    /// The text is not JSON.
+    /// The text is not valid JSON.
     #[error("is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// A value of it is wrong.
+    /// A value of the day file is invalid.
     #[error("{path}: {problem}")]
     Value {
-        /// Where the value is, as `/classes/1/aim`.
+        /// Path of the value, such as `/classes/1/aim`.
         path: String,
-        /// What would be right.
+        /// What is wrong with the value.
         problem: ValueProblem,
     },
 }
 
-/// What is wrong with a value of a day file.
+/// Problem with a value of a day file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ValueProblem {
     /// Missing, or not a finite number.
     #[error("has to be a number")]
     NotANumber,
-    /// Missing, or not a text.
+    /// Missing, or not a string.
     #[error("has to be a text")]
     NotAText,
     /// Missing, or not a list.
     #[error("has to be a list")]
     NotAList,
-    /// A list that needs an entry has none.
+    /// A list that must not be empty is empty.
     #[error("is empty")]
     Empty,
-    /// There is nothing for a class of this position.
+    /// The list has no entry for a class at this position.
     #[error("is missing")]
     Missing,
-    /// A day of another family.
+    /// The day file belongs to another family.
     #[error("only days of streams have a counterpart")]
     NotOfStreams,
-    /// More directors than one machine runs, or none.
+    /// No directors, or more than one machine can run.
     #[error("1 to 64 directors can be run as processes of one machine")]
     DirectorCount,
 }
--- a/crates/scripted-days/src/import/faults.rs
+++ b/crates/scripted-days/src/import/faults.rs
@@ -1,11 +1,11 @@
-//! The faults of a script: the troubles of a day file, as far as they have a counterpart.
+//! Faults of a script, converted from the entries of a day file's `troubles` that have a counterpart.
 
 use super::error::ImportError;
 use super::reader::Reader;
 use shalewall_settings::{Fault, FaultKind, Site};
 use std::collections::BTreeMap;
 
-/// Waves of a preemption at most.
+/// Maximum number of waves of a preemption.
 const MAX_WAVES: u32 = 16;
 
 pub(super) fn faults(
@@ -31,7 +31,7 @@
     Ok(faults)
 }
 
-/// The kind of fault that a trouble of the bench becomes.
+/// Kind of fault that corresponds to a kind of trouble in the day file.
 fn counterpart(name: &str) -> Option<FaultKind> {
     Some(match name {
         "crash" => FaultKind::Crash,
@@ -51,7 +51,7 @@
     })
 }
 
-/// In what a fault of the script differs from the trouble that it was.
+/// How a fault of the script differs from the original in the day file.
 fn change_in_script(kind: FaultKind) -> Option<&'static str> {
     match kind {
         FaultKind::Neighbour => Some("its spells on and off are drawn anew"),
@@ -66,29 +66,29 @@
     }
 }
 
-/// A trouble of the bench, its times as a script has them.
+/// A fault of a day file, with its times in seconds.
 struct BenchFault {
-    at_s: f64,
-    len_s: f64,
+    start_s: f64,
+    duration_s: f64,
     size: f64,
     extra: f64,
-    /// Position of the tenant or title that it meets.
-    target: usize,
-    /// Positions of the servers or balancers that it meets.
-    on: Vec<f64>,
+    /// Position of the affected tenant or title.
+    target_index: usize,
+    /// Positions of the affected servers or balancers.
+    targets: Vec<f64>,
 }
 
 impl BenchFault {
     fn read(entry: &Reader, seconds: f64) -> Result<BenchFault, ImportError> {
-        let at_s = (entry.at("at").number()? / 1e6).clamp(0.0, seconds);
-        let len_s = (entry.at("len").number()? / 1e6).min(seconds - at_s);
+        let start_s = (entry.at("at").number()? / 1e6).clamp(0.0, seconds);
+        let duration_s = (entry.at("len").number()? / 1e6).min(seconds - start_s);
         Ok(BenchFault {
-            at_s,
-            len_s: len_s.max(0.0),
+            start_s,
+            duration_s: duration_s.max(0.0),
             size: entry.at("size").number()?,
             extra: entry.at("extra").number()?,
-            target: entry.at("which").number()? as usize,
-            on: entry.at("on").numbers()?,
+            target_index: entry.at("which").number()? as usize,
+            targets: entry.at("on").numbers()?,
         })
     }
 
@@ -100,17 +100,17 @@
         site: &Site,
         seconds: f64,
     ) -> Result<Fault, ImportError> {
-        let mut fault = Fault::new(kind, self.at_s, self.len_s);
+        let mut fault = Fault::new(kind, self.start_s, self.duration_s);
         match kind {
             FaultKind::Crash | FaultKind::Vanish | FaultKind::Hang => {
-                fault.targets = Some(node_numbers(&self.on));
+                fault.targets = Some(node_numbers(&self.targets));
             }
             FaultKind::Neighbour => {
-                fault.targets = Some(node_numbers(&self.on));
+                fault.targets = Some(node_numbers(&self.targets));
                 fault.size = self.size.clamp(0.001, 1.0);
             }
             FaultKind::Ageing => {
-                fault.targets = Some(node_numbers(&self.on));
+                fault.targets = Some(node_numbers(&self.targets));
                 fault.size = self.size;
             }
             FaultKind::SharedSlow | FaultKind::Burst => fault.size = self.size,
@@ -123,21 +123,21 @@
                 fault.waves = (steps.len() as u32).clamp(1, MAX_WAVES);
                 fault.targets = Some(stopped);
                 fault.notice_ms = self.size * 1000.0;
-                fault.duration_s = (2.0 * self.extra).min(seconds - self.at_s);
+                fault.duration_s = (2.0 * self.extra).min(seconds - self.start_s);
             }
             FaultKind::ZoneLoss => {
                 fault.target_name = site.zones.get(self.first_zone(day)).cloned()
             }
             FaultKind::TenantBurst => {
                 fault.size = self.size;
-                fault.target_name = site.tenants.keys().nth(self.target).cloned();
+                fault.target_name = site.tenants.keys().nth(self.target_index).cloned();
             }
             FaultKind::HotTitle => {
                 fault.size = self.size;
-                fault.target_name = site.titles.keys().nth(self.target).cloned();
+                fault.target_name = site.titles.keys().nth(self.target_index).cloned();
             }
             FaultKind::DirectorStall => {
-                fault.targets = Some(self.on.iter().map(|number| *number as u64).collect());
+                fault.targets = Some(self.targets.iter().map(|number| *number as u64).collect());
                 fault.stall_ms = self.size;
             }
             FaultKind::ListOut | FaultKind::DirectorKill | FaultKind::ClassFlood => {}
@@ -145,16 +145,16 @@
         Ok(fault)
     }
 
-    /// The zone of the first server that it meets.
+    /// Position of the zone of the first affected server.
     fn first_zone(&self, day: &Reader) -> usize {
-        let first = self.on.first();
+        let first = self.targets.first();
         let first = first.map(|number| (*number as usize).to_string());
         let server = day.at("servers").at(&first.unwrap_or_default());
         server.at("zone").number().unwrap_or(0.0) as usize
     }
 }
 
-/// Nodes count from 1 in a script, directors from 0 as at the bench.
+/// Converts positions of servers to node numbers, which start at 1 in a script. Directors start at 0 in both forms.
 fn node_numbers(positions: &[f64]) -> Vec<u64> {
     let positions = positions.iter();
     positions.map(|position| *position as u64 + 1).collect()
--- a/crates/scripted-days/src/import/fleet.rs
+++ b/crates/scripted-days/src/import/fleet.rs
@@ -1,24 +1,24 @@
-//! The fleet of a script: the servers of a day file, as machines.
+//! Fleet of a script: the servers of a day file become machines.
 
 use super::error::ImportError;
 use super::reader::Reader;
 use shalewall_settings::{Fleet, Machine, Site};
 use std::collections::BTreeMap;
 
-/// Usual time of a set-up at an emulated node.
+/// Usual duration of a set-up at an emulated node.
 const SET_UP_MS: f64 = 60.0;
 
 pub(super) fn fleet(day: &Reader, tier: &Reader, site: &Site) -> Result<Fleet, ImportError> {
     let family = day.at("fam");
     let core_kb = family.at("core_kb").number()?;
-    let mut machine = BTreeMap::new();
+    let mut machines = BTreeMap::new();
     for (index, server) in day.at("servers").list()?.iter().enumerate() {
-        // The bench counts from 0.
+        // Servers of a day file are numbered from 0.
         let name = (index + 1).to_string();
-        machine.insert(name, imported_machine(server, tier, site, core_kb)?);
+        machines.insert(name, imported_machine(server, tier, site, core_kb)?);
     }
     Ok(Fleet {
-        node_count: machine.len().max(1) as u64,
+        node_count: machines.len().max(1) as u64,
         link_kb_s: core_kb,
         link_deviation: 0.0,
         rate_deviation: family.at("vary").number()?,
@@ -27,7 +27,7 @@
         load_refresh_ms: tier.at("report_period").millis()?.max(1.0),
         load_noise: tier.at("report_noise").number()?,
         reject_above: family.at("guard").number()?,
-        machines: machine,
+        machines,
         uplinks_kb_s: family.at("uplink_kb").numbers()?,
         list_delay_ms: day.at("discovery").at("notice").millis()?,
     })
@@ -50,7 +50,7 @@
     })
 }
 
-/// Cores of a server, by its kind.
+/// Number of cores of a server, by its kind.
 pub(super) fn core_count(tier: &Reader, server: &Reader) -> Result<f64, ImportError> {
     let kind = server.at("kind").number()? as usize;
     tier.at("kinds").entry(kind).at("cores").number()
--- a/crates/scripted-days/src/import/load.rs
+++ b/crates/scripted-days/src/import/load.rs
@@ -1,24 +1,24 @@
-//! The viewers of a script: the traffic and the clients of a day file.
+//! Viewers of a script, converted from the traffic and the clients of a day file.
 
 use super::error::ImportError;
 use super::reader::Reader;
 use shalewall_settings::{Load, Site};
 use std::collections::BTreeMap;
 
-/// Sessions last evenly from this part of the day's mean.
-const SHORTEST_PART: f64 = 0.3;
-/// To this.
-const LONGEST_PART: f64 = 1.7;
+/// Session lengths are uniformly distributed from this multiple of the day's mean ...
+const MIN_LENGTH_FACTOR: f64 = 0.3;
+/// ... to this one.
+const MAX_LENGTH_FACTOR: f64 = 1.7;
 
 pub(super) fn load(day: &Reader, site: &Site) -> Result<Load, ImportError> {
     let family = day.at("fam");
     let mut mix = BTreeMap::new();
     let mut relative_length = 0.0;
     for (index, class) in day.at("classes").list()?.iter().enumerate() {
-        let part = class.at("share").number()?;
+        let fraction = class.at("share").number()?;
         let usage = family.at("uses").entry(index);
-        relative_length += part * usage.at("life").number()?;
-        mix.insert(class.at("name").text()?, part);
+        relative_length += fraction * usage.at("life").number()?;
+        mix.insert(class.at("name").text()?, fraction);
     }
     debug_assert_eq!(mix.len(), site.classes.len());
     let mean_s = family.at("life_s").number()? * relative_length;
@@ -30,8 +30,8 @@
         tenant_rates: BTreeMap::new(),
         per_s: per_s.max(0.01),
         class_mix: mix,
-        min_length_s: SHORTEST_PART * mean_s,
-        max_length_s: LONGEST_PART * mean_s,
+        min_length_s: MIN_LENGTH_FACTOR * mean_s,
+        max_length_s: MAX_LENGTH_FACTOR * mean_s,
         length_s_by_class: BTreeMap::new(),
         hint_factor: 1.0,
         constrained_fraction: family.at("small_screens").number()?,
--- a/crates/scripted-days/src/import/reader.rs
+++ b/crates/scripted-days/src/import/reader.rs
@@ -1,9 +1,9 @@
-//! Values of a day file, each read by its path so that an error can name it.
+//! Reads values of a day file by their paths, so that an error can name the path.
 
 use super::error::{ImportError, ValueProblem};
 use serde_json::Value;
 
-/// Microseconds in a millisecond: day files of the bench count in microseconds.
+/// Microseconds per millisecond; times in day files are in microseconds.
 const MICROS_PER_MILLI: f64 = 1000.0;
 
 /// A value and its path.
@@ -13,7 +13,7 @@
 }
 
 impl<'v> Reader<'v> {
-    /// The whole file.
+    /// Reader of the root value.
     pub(super) fn new(value: &'v Value) -> Reader<'v> {
         Reader {
             value,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A field, or an entry of a list by its position; null where there is none.
+    /// Field of an object, or entry of a list by its index; null if it does not exist.
     pub(super) fn at(&self, name: &str) -> Reader<'v> {
         static NULL: Value = Value::Null;
         let value = match name.parse::<usize>() {
@@ -34,12 +34,12 @@
         }
     }
 
-    /// An entry of a list.
+    /// Entry of a list by its index.
     pub(super) fn entry(&self, index: usize) -> Reader<'v> {
         self.at(&index.to_string())
     }
 
-    /// An error at this value.
+    /// Creates an error with the path of this value.
     pub(super) fn error(&self, problem: ValueProblem) -> ImportError {
         ImportError::Value {
             path: self.path.clone(),
@@ -51,7 +51,7 @@
         self.value.is_null()
     }
 
-    /// A whole number; none where it is anything else.
+    /// Unsigned integer, or `None` for any other value.
     pub(super) fn whole_number(&self) -> Option<u64> {
         self.value.as_u64()
     }
@@ -61,7 +61,7 @@
         number.ok_or_else(|| self.error(ValueProblem::NotANumber))
     }
 
-    /// A time of the day file, as milliseconds of a script.
+    /// Time in milliseconds, converted from the day file's microseconds.
     pub(super) fn millis(&self) -> Result<f64, ImportError> {
         Ok(self.number()? / MICROS_PER_MILLI)
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether it is true; anything else is false.
+    /// Boolean; any other value counts as false.
     pub(super) fn flag(&self) -> bool {
         self.value.as_bool().unwrap_or(false)
     }
--- a/crates/scripted-days/src/import/site.rs
+++ b/crates/scripted-days/src/import/site.rs
@@ -1,4 +1,4 @@
-//! The site of a script: classes, tenants, ladder, links, rules and limits of a day file.
+//! Site of a script: classes, tenants, ladder, links, rules and limits of a day file.
 
 use super::error::{ImportError, ValueProblem};
 use super::fleet::core_count;
@@ -9,21 +9,21 @@
 };
 use std::collections::BTreeMap;
 
-/// Answers of a program on sockets may be so late: the bench's clock has none of a machine's own delays.
+/// Tolerance for late responses on real sockets; the benchmark's simulated clock has no delays of a machine.
 const ANSWER_SLACK_MS: f64 = 150.0;
-/// A turn of the program on sockets takes so long at least.
-const MIN_STEP_MS: f64 = 20.0;
-/// Titles of a script at most.
+/// Shortest batch interval of a director on real sockets.
+const MIN_BATCH_INTERVAL_MS: f64 = 20.0;
+/// Maximum number of titles of a script.
 const MAX_TITLES: u64 = 10_000;
-/// Cells that hold a title at least.
-const MIN_SPREAD: u64 = 3;
-/// Homes of titles go round the cells by this step, which meets them all.
-const HOME_STEP: u64 = 7;
+/// Minimum number of cells that hold a title.
+const MIN_REPLICA_CELLS: u64 = 3;
+/// Distance between the first cells of consecutive titles, which distributes titles over all cells.
+const FIRST_CELL_STEP: u64 = 7;
 
 pub(super) fn site(day: &Reader, tier: &Reader) -> Result<Site, ImportError> {
     let family = day.at("fam");
-    let kind = kinds(&family, tier)?;
-    let class = classes(day, &family)?;
+    let kinds = kinds(&family, tier)?;
+    let classes = classes(day, &family)?;
     let ladder = ladder(&family)?;
     let layout = Layout {
         cell_count: family.at("cells").number()? as u64,
@@ -31,15 +31,15 @@
     };
     let uplinks = family.at("uplink_kb").numbers()?;
     let total = fleet_total(day, tier, &family)?;
-    let further = retry_budget(&day.at("budget"))?;
-    let tenant = tenants(day)?;
-    let title = titles(&family, total.servers, layout.cell_count)?;
+    let retry_budget = retry_budget(&day.at("budget"))?;
+    let tenants = tenants(day)?;
+    let titles = titles(&family, total.servers, layout.cell_count)?;
     Ok(Site {
         moves: None,
         zones: day.at("zones").texts()?,
-        kinds: kind,
-        classes: class,
-        tenants: tenant,
+        kinds,
+        classes,
+        tenants,
         ladder,
         layout,
         link: Link {
@@ -54,9 +54,9 @@
             delay_ms: family.at("see").millis()?,
         },
         costs: costs(day, &family)?,
-        rules: rules(day, tier, further)?,
+        rules: rules(day, tier, retry_budget)?,
         limits: limits(day)?,
-        titles: title,
+        titles,
     })
 }
 
@@ -106,8 +106,8 @@
 fn ladder(family: &Reader) -> Result<Vec<LadderRung>, ImportError> {
     let rates = family.at("rates").numbers()?;
     let worths = family.at("worth").numbers()?;
-    let steps = rates.into_iter().zip(worths);
-    Ok(steps
+    let rungs = rates.into_iter().zip(worths);
+    Ok(rungs
         .map(|(kb, worth)| LadderRung {
             rate_kb_s: kb,
             utility: worth,
@@ -115,7 +115,7 @@
         .collect())
 }
 
-/// What all servers of a day file have together.
+/// Totals over all servers of a day file.
 struct FleetTotal {
     servers: usize,
     link_kb: f64,
@@ -173,10 +173,10 @@
     let spread = |index: u64| {
         let part = (index as f64 + 1.0).powf(-skew) / all;
         let wanted = (copies * part * servers as f64).ceil() as u64;
-        wanted.max(MIN_SPREAD).min(cells)
+        wanted.max(MIN_REPLICA_CELLS).min(cells)
     };
     let title = |index: u64| Title {
-        first_cell: (index * HOME_STEP + index / cells) % cells,
+        first_cell: (index * FIRST_CELL_STEP + index / cells) % cells,
         replica_cells: spread(index),
     };
     let titles = (0..count).map(|index| (format!("title-{index:04}"), title(index)));
@@ -194,7 +194,11 @@
     })
 }
 
-fn rules(day: &Reader, tier: &Reader, further: Option<RetryBudget>) -> Result<Rules, ImportError> {
+fn rules(
+    day: &Reader,
+    tier: &Reader,
+    retry_budget: Option<RetryBudget>,
+) -> Result<Rules, ImportError> {
     Ok(Rules {
         drain_grace_ms: day.at("drain_grace").millis()?,
         answer_slack_ms: ANSWER_SLACK_MS,
@@ -202,13 +206,13 @@
         initial_capacity: tier.at("stated_cold_from").number()?,
         overload_factor: day.at("fall_multiple").number()?,
         overload_window_ms: day.at("fall_for").millis()?,
-        retry_budget: further,
+        retry_budget,
     })
 }
 
 fn limits(day: &Reader) -> Result<Limits, ImportError> {
     let allow = day.at("allow");
-    let max_come_back_ms = if allow.at("retry_after").flag() {
+    let max_retry_after_ms = if allow.at("retry_after").flag() {
         day.at("clients").at("max_retry_after").millis()?
     } else {
         0.0
@@ -217,7 +221,7 @@
         max_attempts: allow.at("max_attempts").number()? as u32,
         can_cancel: allow.at("cancel").flag(),
         can_check_health: allow.at("probes").flag(),
-        max_retry_after_ms: max_come_back_ms,
-        min_batch_interval_ms: day.at("tick").millis()?.max(MIN_STEP_MS),
+        max_retry_after_ms,
+        min_batch_interval_ms: day.at("tick").millis()?.max(MIN_BATCH_INTERVAL_MS),
     })
 }
--- a/crates/scripted-days/src/lib.rs
+++ b/crates/scripted-days/src/lib.rs
@@ -1,10 +1,10 @@
-//! Scripted days: whole days of the service against emulated nodes and viewers, judged by its rules.
+//! Scripted days: runs directors against emulated nodes and viewers, with faults, and judges the recording.
 //!
 //! A day runs on loopback sockets. Nodes, endpoint list and viewers are emulated in this process ([`emulation`]), each
-//! director is a process of its own (`director_processes`), a hosted service's store and API are in this process
-//! (`hosted_service`), and [`faults`] come by the script. What passed on the sockets is recorded and judged by the
-//! [`rules`] when the day is over; [`run`] puts it together and leaves a [`Summary`]. A day of a machine that lacked
-//! something is not valid (`host_resources`). [`import`] makes scripts of the bench's day files.
+//! director is a child process (`director_processes`), a hosted service's store and API run in this process
+//! (`hosted_service`), and [`faults`] are injected as the script says. Events on the sockets are recorded, and judged
+//! by the [`rules`] when the day is over; [`run`] does all of this and writes a [`Summary`]. A day on an overloaded
+//! machine is not valid (`host_resources`). [`import`] converts day files of the benchmark to scripts.
 
 #![deny(missing_docs)]
 
@@ -20,7 +20,7 @@
 mod summary;
 
 pub use director_processes::DirectorProcesses;
-pub use emulation::{Emulation, MoveKey, endpoint};
+pub use emulation::{Emulation, MigrationKey, endpoint};
 pub use error::DayError;
 pub use host_resources::Shortfall;
 pub use import::error::{ImportError, ValueProblem};
@@ -29,5 +29,5 @@
 pub use run::{audit, run};
 pub use summary::{Summary, ViewerFigures, WaitTimes};
 
-/// Directors that one machine runs as processes.
+/// Maximum number of directors that one machine runs as processes.
 pub const MAX_DIRECTORS: u32 = 64;
--- a/crates/scripted-days/src/rules.rs
+++ b/crates/scripted-days/src/rules.rs
@@ -1,10 +1,10 @@
-//! The rules of a day as the auditor wants them.
+//! Converts the rules of a day's plan to the form that the audit uses.
 
 use shalewall_audit::{ClassRule, Placement, RetryBudget, Rules, TimeDelta};
 use shalewall_settings::{Class, DayPlan, Title, us};
 use std::collections::BTreeMap;
 
-/// What may be seen later, or in another order, than it was sent: loopback, and turns of busy processes.
+/// Tolerance for events that are seen late or reordered, because of loopback sockets and busy processes.
 const TRANSIT: TimeDelta = TimeDelta::from_millis(100);
 
 /// The rules that a day's recordings are judged by.
--- a/crates/scripted-days/src/run.rs
+++ b/crates/scripted-days/src/run.rs
@@ -1,7 +1,7 @@
-//! Running a day from its beginning to its summary, and judging recordings again.
+//! Runs a day from its start to its summary, and judges existing recordings.
 
 use crate::director_processes::DirectorProcesses;
-use crate::emulation::{Emulation, MoveKey};
+use crate::emulation::{Emulation, MigrationKey};
 use crate::error::DayError;
 use crate::host_resources::{Shortfall, reserve_descriptors};
 use crate::summary::Summary;
@@ -17,15 +17,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Sessions that still play at the end may end by themselves for so long.
-const GRACE: Duration = Duration::from_secs(6);
-/// Directors have the endpoint list after this; no viewer comes before.
+/// Time after the last arrival in which playing sessions may end by themselves.
+const SESSION_END_GRACE: Duration = Duration::from_secs(6);
+/// Time for directors to receive the endpoint list before the first viewer arrives.
 const LIST_DELIVERY: Duration = Duration::from_millis(500);
-/// Between two lines of progress.
+/// Interval between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a day and judges it. `program`: the binary whose `serve` is each director. Recordings, settings and
-/// logs of the directors and the summary are left in `out`. `progress`: told each second.
+/// Runs a day and judges it. `program` is the binary whose `serve` command runs each director. Recordings, settings
+/// and logs of the directors and the summary are written to `out`. `progress` receives a line each second.
 pub fn run(
     plan: &DayPlan,
     program: &Path,
@@ -44,27 +44,27 @@
     std::fs::write(out.join("rules.json"), rules_text)?;
     let recorder = Recorder::file(&out.join("day.jsonl"))?;
     let executor = Rc::new(LocalExecutor::new());
-    let day = play(plan, program, out, &executor, &recorder, &mut progress);
+    let day = play_day(plan, program, out, &executor, &recorder, &mut progress);
     let played = async_io::block_on(executor.run(day))?;
     recorder.flush()?;
     let records = shalewall_audit::read(out)?;
     let verdict = judge(&records, &rules);
     let moves = (plan.load.following_fraction > 0.0).then(|| review_migrations(&records, &rules));
-    let summary = Summary::new(&played.count, &verdict, moves, &played.shortfall);
+    let summary = Summary::new(&played.viewer_results, &verdict, moves, &played.shortfall);
     let summary_text = serde_json::to_string_pretty(&summary)?;
     std::fs::write(out.join("summary.json"), summary_text)?;
     std::fs::write(out.join("summary.txt"), summary.to_string())?;
     Ok(summary)
 }
 
-/// Judges the recordings of a folder.
+/// Judges the recordings in a directory.
 pub fn audit(dir: &Path) -> io::Result<Verdict> {
     let records = shalewall_audit::read(dir)?;
     let rules = shalewall_audit::read_rules(dir)?;
     Ok(judge(&records, &rules))
 }
 
-/// What an earlier day left would be judged with this one's.
+/// Removes recordings of an earlier day, which would otherwise be judged together with this one's.
 fn remove_recordings(out: &Path) -> io::Result<()> {
     for entry in std::fs::read_dir(out)? {
         let path = entry?.path();
@@ -78,22 +78,22 @@
     Ok(())
 }
 
-/// What a day came to before it is judged.
-struct Played {
-    count: ViewerResults,
+/// Results of a day before it is judged.
+struct DayResults {
+    viewer_results: ViewerResults,
     shortfall: Shortfall,
 }
 
-async fn play(
+async fn play_day(
     plan: &DayPlan,
     program: &Path,
     out: &Path,
     executor: &Rc<LocalExecutor<'static>>,
     recorder: &Recorder,
     progress: &mut impl FnMut(&str),
-) -> Result<Played, DayError> {
-    let move_key = MoveKey::create(plan, out)?;
-    let emulation = Emulation::start(executor, plan, recorder.clone(), move_key)?;
+) -> Result<DayResults, DayError> {
+    let migration_key = MigrationKey::create(plan, out)?;
+    let emulation = Emulation::start(executor, plan, recorder.clone(), migration_key)?;
     let emulation = Rc::new(emulation);
     let hosting = match &plan.hosted {
         None => None,
@@ -115,26 +115,28 @@
     let arrivals = executor.spawn(async move { viewers.run_arrivals(length).await });
     let timer_delay = watch_day(&emulation, &arrivals, progress).await;
     directors.stop();
-    Ok(played(&emulation, timer_delay))
+    Ok(day_results(&emulation, timer_delay))
 }
 
-/// Waits until the day is over. Returns by how much a timer of its own was late at most.
+/// Waits until the day is over. Returns the largest delay of its own timers.
 async fn watch_day(
     emulation: &Emulation,
     arrivals: &Task<()>,
     progress: &mut impl FnMut(&str),
 ) -> Duration {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut arrivals_over = None;
     let mut max_delay = Duration::ZERO;
     loop {
         let due = Instant::now() + PROGRESS_INTERVAL;
         Timer::at(due).await;
         max_delay = max_delay.max(due.elapsed());
-        progress(&progress_line(emulation, began.elapsed()));
+        progress(&progress_line(emulation, started_at.elapsed()));
         if arrivals.is_finished() {
-            let over = *arrivals_over.get_or_insert_with(Instant::now);
-            if emulation.viewers.active_viewers() == 0 || over.elapsed() >= GRACE {
+            let arrivals_ended = *arrivals_over.get_or_insert_with(Instant::now);
+            if emulation.viewers.active_viewers() == 0
+                || arrivals_ended.elapsed() >= SESSION_END_GRACE
+            {
                 return max_delay;
             }
         }
@@ -142,26 +144,29 @@
 }
 
 fn progress_line(emulation: &Emulation, elapsed: Duration) -> String {
-    let count = emulation.viewers.results.borrow().totals.all.clone();
+    let totals = emulation.viewers.results.borrow().totals.all.clone();
     format!(
-        "{:>4.0} s  {} asked, {} play now, {} refused, {} failed, {} without an answer",
+        "{:>4.0} s  {} requests, {} playing, {} rejected, {} failed, {} without a response",
         elapsed.as_secs_f64(),
-        count.requested,
+        totals.requested,
         emulation.nodes.session_count(),
-        count.rejected,
-        count.failed,
-        count.unanswered
+        totals.rejected,
+        totals.failed,
+        totals.unanswered
     )
 }
 
-fn played(emulation: &Emulation, timer_delay: Duration) -> Played {
-    let mut count = emulation.viewers.results.borrow().clone();
-    count.max_timer_delay_us = emulation.viewers.max_timer_delay_us.get();
-    let viewer_delay = Duration::from_micros(count.max_timer_delay_us.max(0) as u64);
+fn day_results(emulation: &Emulation, timer_delay: Duration) -> DayResults {
+    let mut viewer_results = emulation.viewers.results.borrow().clone();
+    viewer_results.max_timer_delay_us = emulation.viewers.max_timer_delay_us.get();
+    let viewer_delay = Duration::from_micros(viewer_results.max_timer_delay_us.max(0) as u64);
     let shortfall = Shortfall {
         timer_delay: timer_delay.max(viewer_delay),
         failed_connections: emulation.nodes.local_resource_errors()
             + emulation.viewers.local_resource_errors.get(),
     };
-    Played { count, shortfall }
+    DayResults {
+        viewer_results,
+        shortfall,
+    }
 }
--- a/crates/scripted-days/src/summary.rs
+++ b/crates/scripted-days/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a day came to: what viewers got, how long they waited, and how near the rules came to be broken.
+//! Summary of a day: results of viewers, response latencies, and how close each rule came to its limit.
 
 use crate::host_resources::Shortfall;
 use hdrhistogram::Histogram;
@@ -9,76 +9,76 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Longest wait that is distinguished, microseconds: an hour.
+/// Largest latency that the histogram distinguishes, one hour in microseconds.
 const MAX_WAIT_US: u64 = 3_600_000_000;
 
-/// Waits of one class for an answer, milliseconds.
+/// Response latencies of one class, milliseconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct WaitTimes {
-    /// How many answers there were.
+    /// Number of responses.
     pub answers: u64,
-    /// Half of them came within this.
+    /// Median.
     pub p50: f64,
-    /// 99 of 100 came within this.
+    /// 99th percentile.
     pub p99: f64,
-    /// The slowest one.
+    /// Maximum.
     #[serde(rename = "most")]
     pub max: f64,
 }
 
-/// What viewers got: all of them, or one tenant's.
+/// Results of all viewers, or of one tenant's.
 #[derive(Clone, Debug, Serialize)]
 pub struct ViewerFigures {
-    /// Requests.
+    /// Requests sent.
     #[serde(rename = "asked")]
     pub requested: u64,
-    /// Answered with a session.
+    /// Requests whose session played.
     #[serde(rename = "plays")]
     pub played: u64,
-    /// Rejected.
+    /// Requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed.
+    /// Requests with a failure response.
     pub failed: u64,
-    /// Without an answer.
+    /// Requests without a response.
     pub unanswered: u64,
-    /// Sessions that broke off.
+    /// Sessions that were interrupted.
     pub broken: u64,
-    /// Viewers that came.
+    /// Viewers that arrived.
     #[serde(rename = "people")]
     pub viewers: u64,
-    /// Part of them that was rejected at least once.
+    /// Fraction of viewers that was rejected at least once.
     #[serde(rename = "people_refused")]
     pub viewers_rejected_fraction: f64,
-    /// Part of them that never got to watch.
+    /// Fraction of viewers whose session never played.
     #[serde(rename = "people_unserved")]
     pub viewers_unserved_fraction: f64,
-    /// Changes of rung for each minute that a session played.
+    /// Changes of rung per minute of playback.
     #[serde(rename = "steps")]
     pub rung_changes_per_minute: f64,
-    /// Worth got over worth asked for, both within the day, less what stalls and steps cost, as viewers'
-    /// sockets saw it.
+    /// Earned worth as a fraction of the offered worth within the day, less the cost of stalls and changes of rung, as
+    /// measured at the viewers' sockets.
     pub worth: f64,
-    /// Part of the time at each rung.
+    /// Fraction of the playback time at each rung.
     pub rungs: BTreeMap<usize, f64>,
 }
 
 impl ViewerFigures {
-    fn new(t: &ViewerTotals) -> ViewerFigures {
-        let time = t.played_s().max(1e-9);
+    fn new(totals: &ViewerTotals) -> ViewerFigures {
+        let time = totals.played_s().max(1e-9);
         ViewerFigures {
-            requested: t.requested,
-            played: t.played,
-            rejected: t.rejected,
-            failed: t.failed,
-            unanswered: t.unanswered,
-            broken: t.broken,
-            viewers: t.viewers,
-            viewers_rejected_fraction: t.viewers_rejected_fraction(),
-            viewers_unserved_fraction: t.unserved_fraction(),
-            rung_changes_per_minute: t.rung_changes_per_minute(),
-            worth: t.worth(),
-            rungs: t
+            requested: totals.requested,
+            played: totals.played,
+            rejected: totals.rejected,
+            failed: totals.failed,
+            unanswered: totals.unanswered,
+            broken: totals.broken,
+            viewers: totals.viewers,
+            viewers_rejected_fraction: totals.viewers_rejected_fraction(),
+            viewers_unserved_fraction: totals.unserved_fraction(),
+            rung_changes_per_minute: totals.rung_changes_per_minute(),
+            worth: totals.worth(),
+            rungs: totals
                 .seconds_by_rung
                 .iter()
                 .map(|(r, s)| (*r, s / time))
@@ -87,54 +87,54 @@
     }
 }
 
-/// What a day came to.
+/// Summary of a day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// All viewers.
+    /// Results of all viewers.
     #[serde(flatten)]
     pub all: ViewerFigures,
-    /// The same for each tenant's viewers, where they name any.
+    /// Results of each tenant's viewers, if viewers name a tenant.
     pub tenants: BTreeMap<String, ViewerFigures>,
-    /// Waits by class.
+    /// Response latencies by class.
     pub waits: BTreeMap<String, WaitTimes>,
-    /// Hand-overs and gaps, where players follow.
+    /// Migrations and playback gaps, if players support migration.
     #[serde(rename = "moves")]
     pub migrations: Option<MigrationReport>,
-    /// The latest that a timer of the emulators fired, milliseconds.
+    /// Largest delay of the emulators' timers, milliseconds.
     pub lag_ms: f64,
-    /// What the machine shortfall: figures of such a day are not of the program.
+    /// Reasons why the day is not valid: resource shortages of the machine.
     #[serde(rename = "not_valid")]
     pub invalid_reasons: Vec<String>,
-    /// Whether no rule was broken.
+    /// Whether no rule was violated.
     pub rules_hold: bool,
-    /// How near each rule came to its limit; 1 is at it.
+    /// Largest fraction of its limit that each rule reached; 1 is the limit.
     #[serde(rename = "nearest")]
     pub max_limit_fractions: BTreeMap<String, f64>,
-    /// On how many things each rule was tested.
+    /// Number of checks of each rule.
     #[serde(rename = "tested")]
     pub checks: BTreeMap<String, u64>,
-    /// Each breach of a rule.
+    /// Violations of rules.
     pub findings: Vec<String>,
     #[serde(skip)]
     verdict: String,
 }
 
 impl Summary {
-    /// The summary of what was counted and judged.
+    /// Creates the summary from the viewers' results and the verdict.
     pub fn new(
-        count: &ViewerResults,
+        results: &ViewerResults,
         verdict: &Verdict,
         migrations: Option<MigrationReport>,
         shortfall: &Shortfall,
     ) -> Summary {
-        let tenants = count.totals.tenants.iter();
-        let waits = count.latencies_us.iter();
+        let tenants = results.totals.tenants.iter();
+        let waits = results.latencies_us.iter();
         let coverage = verdict.coverage.iter();
         let findings = verdict.findings.iter();
         Summary {
-            all: ViewerFigures::new(&count.totals.all),
+            all: ViewerFigures::new(&results.totals.all),
             tenants: tenants
-                .map(|(name, tally)| (name.clone(), ViewerFigures::new(tally)))
+                .map(|(name, totals)| (name.clone(), ViewerFigures::new(totals)))
                 .collect(),
             waits: waits
                 .map(|(class, waits)| (class.clone(), WaitTimes::new(waits)))
@@ -159,10 +159,10 @@
 }
 
 impl WaitTimes {
-    /// `waits`: one for each answer, microseconds.
+    /// Creates the figures from the latency of each response in microseconds.
     fn new(waits: &[u64]) -> WaitTimes {
         let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_WAIT_US, 3)
-            .expect("an hour in microseconds at three digits");
+            .expect("histogram bounds of one hour in microseconds at three digits are valid");
         for wait in waits {
             histogram.saturating_record(*wait);
         }
@@ -180,24 +180,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "{} asked: {} played, {} refused, {} failed, {} without an answer; {} broke off",
+            "{} requests: {} played, {} rejected, {} failed, {} without a response; {} interrupted",
             self.requested, self.played, self.rejected, self.failed, self.unanswered, self.broken
         )?;
         writeln!(
             f,
-            "{} viewers: {:.1}% turned away at least once, {:.1}% never got to watch",
+            "{} viewers: {:.1}% rejected at least once, {:.1}% never played",
             self.viewers,
             self.viewers_rejected_fraction * 100.0,
             self.viewers_unserved_fraction * 100.0
         )?;
         writeln!(
             f,
-            "worth {:.3} of what was asked for within the day (stand-in nodes)",
+            "worth {:.3} of the worth offered within the day (emulated nodes)",
             self.worth
         )?;
         writeln!(
             f,
-            "changes of rung {:.2} a session-minute",
+            "changes of rung {:.2} per session-minute",
             self.rung_changes_per_minute
         )?;
         let rungs: Vec<_> = self
@@ -212,8 +212,8 @@
 impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.all.fmt(f)?;
-        for (tenant, got) in &self.tenants {
-            write!(f, "-- tenant {tenant}\n{got}")?;
+        for (tenant, figures) in &self.tenants {
+            write!(f, "-- tenant {tenant}\n{figures}")?;
         }
         for (class, w) in &self.waits {
             let WaitTimes {
@@ -232,7 +232,7 @@
         }
         writeln!(
             f,
-            "timers of the stand-ins rang up to {:.0} ms late",
+            "timers of the emulators fired up to {:.0} ms late",
             self.lag_ms
         )?;
         for why in &self.invalid_reasons {
--- a/crates/scripted-days/tests/host_resources.rs
+++ b/crates/scripted-days/tests/host_resources.rs
@@ -1,10 +1,10 @@
-//! What the machine lacked is told of a day.
+//! Tests for the reasons why a day is not valid.
 
 use shalewall_scripted_days::Shortfall;
 use std::time::Duration;
 
 #[test]
-fn a_machine_that_lacked_something_is_told_with_what() {
+fn resource_shortages_are_listed_as_reasons() {
     assert!(Shortfall::default().reasons().is_empty());
     let shortfall = Shortfall {
         timer_delay: Duration::from_millis(900),
--- a/crates/scripted-days/tests/import.rs
+++ b/crates/scripted-days/tests/import.rs
@@ -1,11 +1,11 @@
-//! Days of the bench become scripts; what is wrong with one is told with its path.
+//! Tests for the import of the benchmark's day files, and for the paths in its errors.
 #![recursion_limit = "256"]
 
 use serde_json::{Value, json};
 use shalewall_scripted_days::import;
 use shalewall_settings::{DayPlan, FaultKind, parse};
 
-/// A small day of our own making, in the bench's form.
+/// A small day in the form of the benchmark's day files.
 fn day() -> Value {
     json!({
         "family": "streams", "noise": 77777, "length": 40_000_000, "tick": 10_000,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_day_becomes_a_script_that_reads_back() {
+fn an_imported_script_can_be_parsed() {
     let imported = import(&day().to_string()).unwrap();
     let script = imported.script().unwrap();
     let plan: DayPlan =
@@ -84,26 +84,31 @@
     );
     assert_eq!(plan.fleet.machines["2"].zone, "right");
     assert!((plan.load.per_s - 1.6).abs() < 1e-9);
-    let trouble = |kind| plan.faults.values().find(|t| t.kind == kind).unwrap();
+    let fault = |kind| {
+        plan.faults
+            .values()
+            .find(|fault| fault.kind == kind)
+            .unwrap()
+    };
     // Nodes count from 1 in a script, directors from 0.
-    assert_eq!(trouble(FaultKind::Crash).targets, Some(vec![3]));
+    assert_eq!(fault(FaultKind::Crash).targets, Some(vec![3]));
     assert_eq!(
         (
-            trouble(FaultKind::Preempt).waves,
-            trouble(FaultKind::Preempt).notice_ms
+            fault(FaultKind::Preempt).waves,
+            fault(FaultKind::Preempt).notice_ms
         ),
         (2, 800.0)
     );
-    assert_eq!(trouble(FaultKind::DirectorStall).targets, Some(vec![1]));
+    assert_eq!(fault(FaultKind::DirectorStall).targets, Some(vec![1]));
     assert_eq!(
-        trouble(FaultKind::DirectorStall).duration_s,
+        fault(FaultKind::DirectorStall).duration_s,
         31.0,
-        "cut where the day ends"
+        "a fault must end with the day"
     );
 }
 
 #[test]
-fn what_has_no_counterpart_is_listed_in_the_script_too() {
+fn parts_without_a_counterpart_are_listed_in_the_script() {
     let imported = import(&day().to_string()).unwrap();
     assert!(imported.left_out.iter().any(|l| l.contains("moonlight")));
     let script = imported.script().unwrap();
@@ -114,7 +119,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_path() {
+fn errors_name_the_path_of_the_value() {
     let table = [
         ("/fam/cells", json!("three")),
         ("/classes/1/aim", json!(null)),
@@ -138,9 +143,9 @@
     assert!(import("[]").is_err());
 }
 
-/// The script as it was written on 2026-12-02, before any renaming.
+/// The fixture is the script as written before any renaming: renames in the code must not change it.
 #[test]
-fn a_day_becomes_the_same_script_as_before() {
+fn the_imported_script_matches_the_fixture() {
     let imported = import(&day().to_string()).unwrap();
     let recorded = include_str!("fixtures/imported.hcl");
     assert_eq!(imported.script().unwrap(), recorded);
