--- a/crates/audit/src/judge.rs
+++ b/crates/audit/src/judge.rs
@@ -1,8 +1,8 @@
-//! Judges a recording by the six rules.
+//! Checks a recording against the six rules.
 //!
-//! [`judge`] passes each record, in order of time, to the modules that follow its subject: [`attempts`] keeps what
-//! nodes saw of each session, [`directors`] what each director could know. One module for each rule checks the
-//! record against them. Answers are matched with requests in a pass of their own ([`answers`]).
+//! [`judge`] passes each record, in order of time, to the modules that track its subject: [`attempts`] tracks the state
+//! of each session at the nodes, [`directors`] the information that each director has. One module for each rule checks
+//! the records against them. Responses are matched with requests in a separate pass ([`answers`]).
 
 mod answers;
 mod attempts;
@@ -23,7 +23,7 @@
 use shalewall::Timestamp;
 use slow_start::StartingNodes;
 
-/// Judges a recording; `records` in order of time.
+/// Checks a recording against the rules. `records` must be in order of time.
 pub fn judge(records: &[Record], rules: &Rules) -> Verdict {
     let mut judge = Judge {
         rules,
@@ -54,7 +54,7 @@
     retry_windows: RetryWindows,
 }
 
-/// A node and a director that sends to it.
+/// A director, and a node to which it sends.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Route {
     director: u32,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A set-up, as its record has it.
+/// A set-up that arrived at a node.
 struct SetUp<'r> {
     time: Timestamp,
     route: Route,
--- a/crates/audit/src/judge/answers.rs
+++ b/crates/audit/src/judge/answers.rs
@@ -1,4 +1,4 @@
-//! Rule: each request has one answer in time, unless its director was killed first.
+//! Rule: each request gets exactly one response in time, unless its director was killed.
 
 use super::Judge;
 use crate::record::Record;
@@ -6,7 +6,7 @@
 use shalewall::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// The status of a rejection: the request may be sent again.
+/// HTTP status of a rejection; the request may be retried.
 const REJECTED_STATUS: u16 = 503;
 
 /// A viewer's request.
@@ -15,13 +15,13 @@
     id: u64,
     sent_at: Timestamp,
     director: u32,
-    /// How long the viewer waits.
+    /// Time that the viewer waits for a response.
     timeout: TimeDelta,
     class: &'r str,
     tenant: Option<&'r str>,
 }
 
-/// The requests of a recording, and how often each one ended.
+/// The requests of a recording, and how many times each one ended.
 #[derive(Default)]
 struct Requests<'r> {
     sent: BTreeMap<u64, Request<'r>>,
@@ -29,7 +29,7 @@
 }
 
 impl<'r> Requests<'r> {
-    /// Notes the end of a request. Returns it, and how often it ended so far, if it is known.
+    /// Counts an end of a request. Returns the request and the number of its ends so far, or `None` if it is unknown.
     fn end(&mut self, id: u64) -> Option<(Request<'r>, u32)> {
         let request = *self.sent.get(&id)?;
         Some((request, self.count_end(id)))
@@ -113,29 +113,29 @@
         if count > 1 {
             let evidence = format!("request {id} has {count} answers");
             self.verdict
-                .record_breach(Rule::OneAnswer, tenant, time, evidence);
+                .record_violation(Rule::OneAnswer, tenant, time, evidence);
         }
         let latest = time + self.rules.transit;
         let stalled = self
             .outages
             .stalled(request.director, request.sent_at, latest);
-        let took = time - request.sent_at - stalled;
+        let elapsed = time - request.sent_at - stalled;
         let limit = self.answer_limit(request);
-        let utilization = took.as_micros() as f64 / limit.as_micros() as f64;
+        let utilization = elapsed.as_micros() as f64 / limit.as_micros() as f64;
         self.verdict
-            .record_test(Rule::OneAnswer, tenant, utilization);
-        if took > limit {
+            .record_check(Rule::OneAnswer, tenant, utilization);
+        if elapsed > limit {
             let evidence = format!(
                 "request {id}: {status} after {} ms of {}",
-                took.as_millis(),
+                elapsed.as_millis(),
                 request.timeout.as_millis()
             );
             self.verdict
-                .record_breach(Rule::OneAnswer, tenant, time, evidence);
+                .record_violation(Rule::OneAnswer, tenant, time, evidence);
         }
     }
 
-    /// A connection that ended without an answer.
+    /// Checks a request whose connection ended without a response.
     fn check_unanswered(&mut self, time: Timestamp, request: Request<'_>) {
         let Request {
             id,
@@ -152,10 +152,10 @@
         let evidence =
             format!("request {id} to director {director} has no answer after {waited} ms");
         self.verdict
-            .record_breach(Rule::OneAnswer, request.tenant, time, evidence);
+            .record_violation(Rule::OneAnswer, request.tenant, time, evidence);
     }
 
-    /// Requests that never ended, though their time was over before the recording's last record.
+    /// Checks requests that never ended although they were due before the last record.
     fn check_open_requests(&mut self, requests: &Requests<'_>, last: Timestamp) {
         for request in requests.sent.values() {
             let Request { id, director, .. } = *request;
@@ -166,11 +166,11 @@
             let evidence = format!("request {id} to director {director} is still open");
             let sent_at = request.sent_at;
             self.verdict
-                .record_breach(Rule::OneAnswer, request.tenant, sent_at, evidence);
+                .record_violation(Rule::OneAnswer, request.tenant, sent_at, evidence);
         }
     }
 
-    /// How long an answer may take.
+    /// Longest time that a response may take.
     fn answer_limit(&self, request: Request<'_>) -> TimeDelta {
         request.timeout + self.rules.answer_slack + self.rules.transit
     }
--- a/crates/audit/src/judge/attempts.rs
+++ b/crates/audit/src/judge/attempts.rs
@@ -1,4 +1,4 @@
-//! What nodes saw of each session: its attempts, which of them are in flight, and who holds the session.
+//! Attempts of each session as the nodes saw them: which of them are in flight, and which nodes hold the session.
 
 use super::{Route, SetUp};
 use crate::record::SetUpOutcome;
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub session: u64,
-    /// 0 for the first attempt, then one for each retry.
+    /// 0 for the first attempt, incremented by each retry.
     pub number: u32,
 }
 
@@ -19,16 +19,16 @@
     }
 }
 
-/// An attempt as the nodes saw it.
+/// State of an attempt at the nodes.
 pub(super) struct Attempt {
-    /// Where it was sent, and by whom.
+    /// Director that sent it, and node that received it.
     pub route: Route,
     pub tenant: Option<String>,
     pub class: String,
     pub title: String,
-    /// The nodes that hold it now: two while it migrates.
+    /// Nodes that hold the session now: two during a migration.
     pub holders: BTreeSet<u64>,
-    /// When its set-up ended; none: it is in flight.
+    /// When its set-up ended; `None` while it is in flight.
     pub answered_at: Option<Timestamp>,
     /// When the last holder released it.
     pub released_at: Option<Timestamp>,
@@ -40,7 +40,7 @@
 #[derive(Default)]
 pub(super) struct Attempts {
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Numbers of the attempts of each session, in order of arrival; also of those that arrived in part.
+    /// Numbers of the attempts of each session in order of arrival, including those that arrived incomplete.
     by_session: BTreeMap<u64, Vec<u32>>,
 }
 
@@ -53,7 +53,7 @@
         self.attempts.get_mut(&id)
     }
 
-    /// Attempts of a session so far, in order of arrival.
+    /// Attempts of a session in order of arrival.
     pub fn of_session(&self, session: u64) -> Vec<AttemptId> {
         let numbers = self.by_session.get(&session).into_iter().flatten();
         numbers
@@ -79,7 +79,7 @@
         found.map(|(_, attempt)| attempt)
     }
 
-    /// A set-up that arrived complete.
+    /// Adds a set-up that arrived complete.
     pub fn add(&mut self, set_up: &SetUp<'_>) {
         let id = set_up.id;
         let numbers = self.by_session.entry(id.session).or_default();
@@ -97,8 +97,8 @@
         self.attempts.insert(id, attempt);
     }
 
-    /// A set-up of which some bytes arrived: if the session is paid, it must not be sent again. Its class is known
-    /// from other attempts only.
+    /// Adds a set-up that arrived incomplete: if the session is paid, it must not be retried. Its class is known from
+    /// other attempts only.
     pub fn add_partial(&mut self, id: AttemptId) {
         let numbers = self.by_session.entry(id.session).or_default();
         if !numbers.contains(&id.number) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Notes the outcome of a set-up. Returns its route, if the attempt is known.
+    /// Sets the outcome of a set-up. Returns its route if the attempt is known.
     pub fn finish_set_up(
         &mut self,
         id: AttemptId,
@@ -119,7 +119,7 @@
         Some(attempt.route)
     }
 
-    /// Notes that a holder of an attempt died. Returns the director of the attempt.
+    /// Ends an attempt's set-up at a node that died. Returns the director of the attempt.
     pub fn node_down(&mut self, id: AttemptId, node: u64, time: Timestamp) -> Option<u32> {
         let attempt = self.attempts.get_mut(&id)?;
         if attempt.route.node == node {
--- a/crates/audit/src/judge/directors.rs
+++ b/crates/audit/src/judge/directors.rs
@@ -1,24 +1,24 @@
-//! What each director could know of the nodes, and when it could not act at all.
+//! What each director could know about the nodes, and when it was stopped or killed.
 
 use super::Route;
 use crate::record::{READY, Record};
 use shalewall::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What each director was notified of, and saw, since its last start.
+/// Notifications and node failures that each director has seen since its last start.
 #[derive(Default)]
 pub(super) struct Directors {
     /// The first notification that a node is draining or gone.
     drain_notified: BTreeMap<Route, Timestamp>,
     /// Starts of nodes that a director was notified of.
     known_starts: BTreeSet<(Route, Timestamp)>,
-    /// The last failure of a node that a director saw itself.
+    /// The last failure of a node that a director observed itself.
     failures: BTreeMap<Route, Timestamp>,
     started: BTreeMap<u32, Timestamp>,
 }
 
 impl Directors {
-    /// A director was notified of a node's standing, and perhaps of a start of its process.
+    /// Handles a notification of a node's state, and of the start of its process if it contains one.
     pub fn notify(
         &mut self,
         route: Route,
@@ -40,7 +40,7 @@
         self.failures.insert(route, time);
     }
 
-    /// A director that starts again does not know what it was notified of before.
+    /// Handles a restart of a director, which loses its earlier notifications.
     pub fn restart(&mut self, director: u32, time: Timestamp) {
         self.started.insert(director, time);
         self.drain_notified
@@ -52,8 +52,8 @@
         self.drain_notified.get(&route).copied()
     }
 
-    /// Whether a director could know at `time` that a node started at `node_started`: it was notified, saw the node
-    /// fail, or started later itself.
+    /// Whether a director could know at `time` that a node started at `node_started`: it was notified, observed a
+    /// failure of the node, or started later itself.
     pub fn knew_start(&self, route: Route, node_started: Timestamp, time: Timestamp) -> bool {
         let failed_at = self.failures.get(&route);
         let started_at = self.started.get(&route.director);
@@ -63,13 +63,13 @@
     }
 }
 
-/// Times at which a director was stopped from outside.
+/// Interval in which a director's process was suspended.
 struct Stall {
     from: Timestamp,
     until: Timestamp,
 }
 
-/// Kills and stops of all directors in a recording, known before the records are judged.
+/// Kills and suspensions of all directors in a recording, collected before the records are checked.
 #[derive(Default)]
 pub(super) struct Outages {
     stalls: BTreeMap<u32, Vec<Stall>>,
@@ -100,7 +100,7 @@
         outages
     }
 
-    /// How long a director was stopped between two times.
+    /// Total time for which a director was suspended between two times.
     pub fn stalled(&self, director: u32, from: Timestamp, to: Timestamp) -> TimeDelta {
         let stalls = self.stalls.get(&director).into_iter().flatten();
         stalls
@@ -108,7 +108,7 @@
             .sum()
     }
 
-    /// Whether a director was killed between two times, both included.
+    /// Whether a director was killed between two times, inclusive.
     pub fn killed(&self, director: u32, from: Timestamp, to: Timestamp) -> bool {
         let mut kills = self.kills.get(&director).into_iter().flatten();
         kills.any(|killed_at| *killed_at >= from && *killed_at <= to)
--- a/crates/audit/src/judge/duplicates.rs
+++ b/crates/audit/src/judge/duplicates.rs
@@ -1,4 +1,4 @@
-//! Rule: no paid set-up is executed twice, and no two attempts of one session are in flight.
+//! Rule: no paid set-up is executed twice, and no two attempts of one session are in flight at the same time.
 
 use super::attempts::{Attempt, AttemptId};
 use super::{Judge, SetUp};
@@ -12,21 +12,25 @@
         let tenant = set_up.tenant;
         let paid = self.rules.is_paid(tenant, set_up.class);
         self.verdict
-            .record_test(Rule::NoDuplicateSetUp, tenant, 0.0);
+            .record_check(Rule::NoDuplicateSetUp, tenant, 0.0);
         for earlier in self.attempts.of_session(set_up.id.session) {
-            let breaches = match self.attempts.get(earlier) {
+            let violations = match self.attempts.get(earlier) {
                 Some(attempt) => duplicate_evidence(set_up.id, earlier, attempt, paid),
                 None if paid => vec![partial_evidence(set_up.id, earlier)],
                 None => Vec::new(),
             };
-            for evidence in breaches {
-                self.verdict
-                    .record_breach(Rule::NoDuplicateSetUp, tenant, set_up.time, evidence);
+            for evidence in violations {
+                self.verdict.record_violation(
+                    Rule::NoDuplicateSetUp,
+                    tenant,
+                    set_up.time,
+                    evidence,
+                );
             }
         }
     }
 
-    /// Checks a rejection: it says that a retry is harmless, so no attempt of a paid session may have been executed.
+    /// Checks a rejection: it permits a retry, so no attempt of a paid session may have been executed.
     pub(super) fn check_rejection(
         &mut self,
         time: Timestamp,
@@ -49,12 +53,12 @@
                 id.number
             );
             self.verdict
-                .record_breach(Rule::NoDuplicateSetUp, tenant, time, evidence);
+                .record_violation(Rule::NoDuplicateSetUp, tenant, time, evidence);
         }
     }
 }
 
-/// Breaches by a set-up after an earlier attempt that arrived complete.
+/// Violations by a set-up after an earlier attempt that arrived complete.
 fn duplicate_evidence(
     id: AttemptId,
     earlier_id: AttemptId,
@@ -63,22 +67,22 @@
 ) -> Vec<String> {
     let AttemptId { session, number } = id;
     let earlier_number = earlier_id.number;
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     if earlier.answered_at.is_none() {
-        breaches.push(format!(
+        violations.push(format!(
             "session {session}: attempt {number} while {earlier_number} is out"
         ));
     }
     if paid && earlier.outcome != Some(SetUpOutcome::Rejected) {
         let outcome = option_text(earlier.outcome);
-        breaches.push(format!(
+        violations.push(format!(
             "paid session {session}: attempt {number} after {earlier_number}: {outcome}"
         ));
     }
-    breaches
+    violations
 }
 
-/// The breach by a paid set-up after an earlier attempt that arrived in part.
+/// Violation by a paid set-up after an earlier attempt that arrived incomplete.
 fn partial_evidence(id: AttemptId, earlier: AttemptId) -> String {
     let AttemptId { session, number } = id;
     format!(
@@ -87,7 +91,7 @@
     )
 }
 
-/// An outcome in the form that the evidence has always had.
+/// Formats an outcome like its `Debug` form, which findings of earlier versions contain.
 fn option_text(value: Option<impl ToString>) -> String {
     match value {
         Some(value) => format!("Some({})", value.to_string()),
--- a/crates/audit/src/judge/floors_and_seats.rs
+++ b/crates/audit/src/judge/floors_and_seats.rs
@@ -1,5 +1,5 @@
-//! Rule: sessions keep their class's lowest rung, and directors the number of sessions that a class allows them of
-//! one title.
+//! Rule: sessions stay at or above the lowest rung of their class, and directors within the number of sessions per
+//! title (seats) that the class allows.
 
 use super::Judge;
 use super::attempts::{Attempt, AttemptId};
@@ -8,11 +8,11 @@
 use shalewall::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What seats are counted by.
+/// Key by which seats are counted.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SeatKey {
     director: u32,
-    /// The tenant, where its classes are its own.
+    /// The tenant, if it has its own classes.
     owner: Option<String>,
     class: String,
     title: String,
@@ -29,14 +29,14 @@
     }
 }
 
-/// Sessions that take a seat, of each director.
+/// Sessions that occupy a seat.
 #[derive(Default)]
 pub(super) struct Seats {
     taken: BTreeMap<SeatKey, BTreeSet<AttemptId>>,
 }
 
 impl Seats {
-    /// Takes a seat. Returns how many are taken then.
+    /// Occupies a seat. Returns the number of occupied seats.
     fn take(&mut self, key: SeatKey, id: AttemptId) -> u32 {
         let taken = self.taken.entry(key).or_default();
         taken.insert(id);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A director that starts again holds none of its earlier sessions.
+    /// Frees all seats of a director that restarted and lost its sessions.
     pub fn clear(&mut self, director: u32) {
         self.taken.retain(|key, _| key.director != director);
     }
@@ -71,15 +71,15 @@
         }
         let utilization = if rung == floor { 1.0 } else { 0.0 };
         self.verdict
-            .record_test(Rule::FloorsAndSeats, tenant, utilization);
+            .record_check(Rule::FloorsAndSeats, tenant, utilization);
         if rung < floor {
             let evidence = format!("session {session} of {class} at rung {rung}, floor {floor}");
             self.verdict
-                .record_breach(Rule::FloorsAndSeats, tenant, time, evidence);
+                .record_violation(Rule::FloorsAndSeats, tenant, time, evidence);
         }
     }
 
-    /// A node holds a session, by its set-up or by a migration: the session takes a seat.
+    /// Handles a node that holds a session after a set-up or a migration: the session occupies a seat.
     pub(super) fn hold(&mut self, id: AttemptId, node: u64, time: Timestamp) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -92,7 +92,7 @@
         self.check_seats(time, &key, count, tenant.as_deref());
     }
 
-    /// A node holds a session no more: the seat is free when no node does.
+    /// Handles a node that no longer holds a session: the seat is freed when no other node holds it.
     pub(super) fn release(&mut self, id: AttemptId, node: u64, time: Timestamp) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -114,14 +114,14 @@
         }
         let utilization = f64::from(count) / f64::from(seats);
         self.verdict
-            .record_test(Rule::FloorsAndSeats, tenant, utilization);
+            .record_check(Rule::FloorsAndSeats, tenant, utilization);
         if count > seats {
             let evidence = format!(
                 "director {} holds {count} sessions of {} in {}, seats {seats}",
                 key.director, key.title, key.class
             );
             self.verdict
-                .record_breach(Rule::FloorsAndSeats, tenant, time, evidence);
+                .record_violation(Rule::FloorsAndSeats, tenant, time, evidence);
         }
     }
 }
--- a/crates/audit/src/judge/retry_budget.rs
+++ b/crates/audit/src/judge/retry_budget.rs
@@ -1,11 +1,11 @@
-//! Rule: the retries of each director stay within their budget.
+//! Rule: the retries of each director stay within the retry budget.
 
 use super::{Judge, SetUp};
 use crate::verdict::Rule;
 use shalewall::Timestamp;
 use std::collections::BTreeMap;
 
-/// Keeps the limit, as a divisor, above zero.
+/// Keeps the limit above zero as a divisor.
 const MIN_LIMIT: f64 = 1e-9;
 
 /// Requests and retries of each director since its last start.
@@ -24,7 +24,7 @@
         self.retries.entry(director).or_default().push(time);
     }
 
-    /// A director that starts again has sent nothing.
+    /// Forgets the requests and retries of a director that restarted.
     pub fn clear(&mut self, director: u32) {
         self.requests.remove(&director);
         self.retries.remove(&director);
@@ -54,7 +54,7 @@
         };
         let director = set_up.route.director;
         self.retry_windows.add_retry(director, set_up.time);
-        // What arrives a little later than it was sent may fall into the next window.
+        // Events may arrive in a later window than the one in which they were sent.
         let window_start = set_up.time - budget.window;
         let transit = self.rules.transit;
         let retries = self
@@ -66,12 +66,12 @@
         let limit = budget.free + budget.per_request * requests;
         let utilization = retries / limit.max(MIN_LIMIT);
         self.verdict
-            .record_test(Rule::RetryBudget, set_up.tenant, utilization);
+            .record_check(Rule::RetryBudget, set_up.tenant, utilization);
         if retries > limit {
             let evidence =
                 format!("director {director}: {retries} further attempts, {limit:.1} allowed");
             self.verdict
-                .record_breach(Rule::RetryBudget, set_up.tenant, set_up.time, evidence);
+                .record_violation(Rule::RetryBudget, set_up.tenant, set_up.time, evidence);
         }
     }
 }
--- a/crates/audit/src/judge/slow_start.rs
+++ b/crates/audit/src/judge/slow_start.rs
@@ -1,7 +1,8 @@
-//! Rule: no node that warms up is sent more than its pace.
+//! Rule: no node that is warming up gets more set-ups than its slow start allows.
 //!
-//! What is sent within the overload window stays under a multiple of the node's present capacity, with a little
-//! slack for chance. It is a breach when most of it came from directors that could know of the node's start.
+//! The set-ups within the overload window must stay below a multiple of the rate that the node's current capacity
+//! allows, with slack for random clusters. It is a violation if at least half of them came from directors that could
+//! know of the node's start.
 
 use super::{Judge, Route};
 use crate::rules::Rules;
@@ -9,40 +10,40 @@
 use shalewall::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Set-ups above the pace that may fall into one window by chance.
-const CHANCE_SLACK: f64 = 2.0;
+/// Set-ups above the limit that may fall into one window by chance.
+const SLACK_SET_UPS: f64 = 2.0;
 
 /// The last start of a node's process.
 #[derive(Clone, Copy)]
 struct NodeStart {
     time: Timestamp,
-    capacity_places: f64,
+    stream_capacity: f64,
     warm: bool,
 }
 
-/// Something new that a node got while it warmed up.
+/// A set-up or migration that a node received while it was warming up.
 #[derive(Clone, Copy)]
 struct Send {
     time: Timestamp,
     /// Whether its director could know of the node's start.
-    director_knew: bool,
+    director_was_informed: bool,
 }
 
-/// What was sent within a window.
+/// Number of sends within a window.
 #[derive(Clone, Copy, Default)]
 struct SendCount {
     all: usize,
-    /// By directors that could know of the node's start.
-    knowing: usize,
+    /// Those by directors that could know of the node's start.
+    from_informed_directors: usize,
 }
 
 impl SendCount {
-    fn mostly_knowing(self) -> bool {
-        2 * self.knowing >= self.all
+    fn mostly_from_informed_directors(self) -> bool {
+        2 * self.from_informed_directors >= self.all
     }
 }
 
-/// Starts of nodes, and what each got while it warmed up.
+/// Starts of nodes, and the sends to each node while it was warming up.
 #[derive(Default)]
 pub(super) struct StartingNodes {
     starts: BTreeMap<u64, NodeStart>,
@@ -50,17 +51,17 @@
 }
 
 impl StartingNodes {
-    pub fn start(&mut self, node: u64, time: Timestamp, capacity_places: f64, warm: bool) {
+    pub fn start(&mut self, node: u64, time: Timestamp, stream_capacity: f64, warm: bool) {
         let start = NodeStart {
             time,
-            capacity_places,
+            stream_capacity,
             warm,
         };
         self.starts.insert(node, start);
         self.sends.remove(&node);
     }
 
-    /// The start of a node that is not warm yet.
+    /// The last start of a node, if it is still warming up at `time`.
     fn cold_start(&self, node: u64, time: Timestamp, rules: &Rules) -> Option<NodeStart> {
         let start = self.starts.get(&node).copied()?;
         let cold = !start.warm && time - start.time < rules.warm_after;
@@ -76,24 +77,24 @@
         for send in self.sends.get(&node).into_iter().flatten() {
             if send.time > from {
                 count.all += 1;
-                count.knowing += usize::from(send.director_knew);
+                count.from_informed_directors += usize::from(send.director_was_informed);
             }
         }
         count
     }
 }
 
-/// The most that a node may get within the overload window at `time`.
+/// Maximum number of sends to a node within the overload window that ends at `time`.
 fn send_limit(rules: &Rules, start: NodeStart, time: Timestamp) -> f64 {
     let age = (time - start.time).as_micros() as f64;
     let warm_after = rules.warm_after.as_micros() as f64;
     let capacity = rules.start_capacity + (1.0 - rules.start_capacity) * age / warm_after;
-    let pace = start.capacity_places / warm_after * capacity;
-    rules.overload_factor * pace * rules.overload_window.as_micros() as f64 + CHANCE_SLACK
+    let pace = start.stream_capacity / warm_after * capacity;
+    rules.overload_factor * pace * rules.overload_window.as_micros() as f64 + SLACK_SET_UPS
 }
 
 impl Judge<'_> {
-    /// Checks something new that is sent to a node.
+    /// Checks a set-up or migration that is sent to a node.
     pub(super) fn check_slow_start(&mut self, time: Timestamp, route: Route, tenant: Option<&str>) {
         if self.rules.overload_window <= TimeDelta::ZERO {
             return;
@@ -102,10 +103,10 @@
         let Some(start) = self.starting_nodes.cold_start(node, time, self.rules) else {
             return;
         };
-        let director_knew = self.directors.knew_start(route, start.time, time);
+        let director_was_informed = self.directors.knew_start(route, start.time, time);
         let send = Send {
             time,
-            director_knew,
+            director_was_informed,
         };
         self.starting_nodes.add_send(node, send);
         let window_start = time - self.rules.overload_window;
@@ -113,28 +114,32 @@
         let limit = send_limit(self.rules, start, time);
         let sent = count.all as f64;
         self.verdict
-            .record_test(Rule::SlowStart, tenant, sent / limit);
-        if sent > limit && count.mostly_knowing() {
+            .record_check(Rule::SlowStart, tenant, sent / limit);
+        if sent > limit && count.mostly_from_informed_directors() {
             let evidence = format!(
                 "node {node}: {} set-ups within the span, {limit:.1} at most",
                 count.all
             );
             self.verdict
-                .record_breach(Rule::SlowStart, tenant, time, evidence);
+                .record_violation(Rule::SlowStart, tenant, time, evidence);
         }
     }
 
-    /// A node says itself that it failed of overload. A breach if most of its load came from directors that could
-    /// know that it was warming up.
+    /// Checks a node that failed of overload. It is a violation if at least half of the sends came from directors that
+    /// could know that it was warming up.
     pub(super) fn check_overload(&mut self, time: Timestamp, node: u64) {
         let window_start = time - self.rules.overload_window;
         let count = self.starting_nodes.count_after(node, window_start);
-        if count.mostly_knowing() {
-            let SendCount { all, knowing } = count;
-            let evidence =
-                format!("node {node} fell over: {all} set-ups, {knowing} by directors that knew");
+        if count.mostly_from_informed_directors() {
+            let SendCount {
+                all,
+                from_informed_directors,
+            } = count;
+            let evidence = format!(
+                "node {node} fell over: {all} set-ups, {from_informed_directors} by directors that knew"
+            );
             self.verdict
-                .record_breach(Rule::SlowStart, None, time, evidence);
+                .record_violation(Rule::SlowStart, None, time, evidence);
         }
     }
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,8 +1,8 @@
-//! Judges recordings of what passed on sockets: the six rules of the service ([`judge`]), and what migrations did to
-//! viewers ([`review_migrations`]).
+//! Audits recordings of socket events: checks the six rules of the service ([`judge`]), and reviews the effect of
+//! migrations on viewers ([`review_migrations`]).
 //!
-//! The crate knows the form of recordings ([`Record`]), the figures of the rules ([`Rules`]) and the two types of
-//! time. It uses nothing else of the software that it judges: no engine, no server, no decisions.
+//! The crate contains the format of recordings ([`Record`]) and the parameters of the rules ([`Rules`]). Apart from the
+//! two time types it uses nothing of the software that it audits: no engine, no server, no decisions.
 
 #![deny(missing_docs)]
 
--- a/crates/audit/src/micros.rs
+++ b/crates/audit/src/micros.rs
@@ -1,4 +1,4 @@
-//! Serde forms of [`TimeDelta`] and [`Timestamp`](shalewall::Timestamp) in files: bare integers of microseconds.
+//! Serde modules that store [`TimeDelta`] and [`Timestamp`](shalewall::Timestamp) as integers of microseconds.
 
 use serde::{Deserialize, Deserializer, Serializer};
 use shalewall::TimeDelta;
@@ -11,7 +11,7 @@
     i64::deserialize(deserializer).map(TimeDelta::from_micros)
 }
 
-/// The same for a list.
+/// Serializes a list of durations as integers of microseconds.
 pub fn serialize_list<S: Serializer>(
     deltas: &[TimeDelta],
     serializer: S,
@@ -19,7 +19,7 @@
     serializer.collect_seq(deltas.iter().map(|delta| delta.as_micros()))
 }
 
-/// The form of a timestamp.
+/// Serde module for a timestamp.
 pub mod timestamp {
     use serde::{Deserialize, Deserializer, Serializer};
     use shalewall::Timestamp;
@@ -33,7 +33,7 @@
     }
 }
 
-/// The form of a timestamp that may be absent.
+/// Serde module for an optional timestamp.
 pub mod optional_timestamp {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use shalewall::Timestamp;
--- a/crates/audit/src/migrations.rs
+++ b/crates/audit/src/migrations.rs
@@ -1,8 +1,8 @@
-//! Migrations and gaps, from recordings: what viewers saw, whether a migration was needed, and whether a gap could
-//! have been avoided.
+//! Review of migrations and playback gaps in a recording: whether a migration was needed, and whether a gap could have
+//! been avoided.
 //!
-//! [`Observations`] collects what the records say of nodes, sessions and gaps; [`NodeHistory`] answers how a node
-//! was at a time. This module goes through the migrations and the gaps, and counts.
+//! [`Observations`] collects nodes, sessions and gaps from the records; [`NodeHistory`](node_history::NodeHistory)
+//! answers queries about the state of a node at a time. This module evaluates the migrations and the gaps.
 
 mod node_history;
 mod observations;
@@ -15,20 +15,20 @@
 use shalewall::TimeDelta;
 use std::collections::BTreeMap;
 
-/// Viewers are not to see a gap longer than this where another node had capacity.
+/// Gaps longer than this count as avoidable if another node had capacity.
 const GAP_LIMIT: TimeDelta = TimeDelta::from_millis(200);
-/// What happened to a node so long before a gap may be its cause: players' buffers last for less.
-const BUFFER_LENGTH: TimeDelta = TimeDelta::from_secs(8);
-/// A migration from a node that is healthy again within this was not needed.
+/// Time before a gap in which a fault of the node may be its cause; players' buffers are shorter than this.
+const GAP_CAUSE_WINDOW: TimeDelta = TimeDelta::from_secs(8);
+/// A migration from a node that is healthy again within this time was not needed.
 const REGRET_WINDOW: TimeDelta = TimeDelta::from_secs(2);
-/// A gap belongs to a migration if it ends at most so long before the migration began.
-const GAP_BEFORE: TimeDelta = TimeDelta::from_secs(1);
-/// A gap belongs to a migration if it starts at most so long after the player fetched at the target.
-const GAP_AFTER: TimeDelta = TimeDelta::from_secs(2);
-/// Gaps that the report describes.
+/// A gap belongs to a migration if it ends at most this time before the migration was requested.
+const GAP_MARGIN_BEFORE: TimeDelta = TimeDelta::from_secs(1);
+/// A gap belongs to a migration if it starts at most this time after the player's fetch from the target.
+const GAP_MARGIN_AFTER: TimeDelta = TimeDelta::from_secs(2);
+/// Number of gaps that the report describes.
 const DESCRIBED_GAPS: usize = 10;
 
-/// Looks at the migrations and gaps of a recording; `records` in order of time.
+/// Reviews the migrations and gaps of a recording. `records` must be in order of time.
 pub fn review_migrations(records: &[Record], rules: &Rules) -> MigrationReport {
     let mut observations = Observations::default();
     for record in records {
@@ -60,10 +60,10 @@
     report.longest_gaps.sort_unstable();
 }
 
-/// Whether the source was healthy, or soon was again, and neither draining nor short of capacity.
+/// Whether the source was healthy, or recovered soon, and was neither draining nor short of capacity.
 fn is_regretted(observations: &Observations, migration: &Migration, source: u64) -> bool {
     let requested_at = migration.requested_at;
-    let from = requested_at - BUFFER_LENGTH;
+    let from = requested_at - GAP_CAUSE_WINDOW;
     let until = requested_at + REGRET_WINDOW;
     let director = observations.sessions[&migration.session].director;
     let history = &observations.nodes[&source];
@@ -73,10 +73,10 @@
     healthy && !leaves && !history.was_short(from, until)
 }
 
-/// The longest gap of the session around a migration; zero: none.
+/// Longest gap of the session around a migration; zero if there is none.
 fn longest_gap_around(observations: &Observations, migration: &Migration) -> TimeDelta {
-    let earliest = migration.requested_at - GAP_BEFORE;
-    let latest = migration.fetched_at + GAP_AFTER;
+    let earliest = migration.requested_at - GAP_MARGIN_BEFORE;
+    let latest = migration.fetched_at + GAP_MARGIN_AFTER;
     let gaps = observations.gaps.iter();
     let near = gaps.filter(|gap| {
         gap.session == migration.session
@@ -86,7 +86,7 @@
     near.map(|gap| gap.length).max().unwrap_or(TimeDelta::ZERO)
 }
 
-/// A long gap that another node could have avoided. Ordered by length.
+/// A long gap that a migration to another node could have avoided. Ordered by length.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AvoidableGap {
     length: TimeDelta,
--- a/crates/audit/src/migrations/node_history.rs
+++ b/crates/audit/src/migrations/node_history.rs
@@ -1,8 +1,8 @@
-//! How a node was at a time, from changes recorded in order of time.
+//! State of a node over time, from changes recorded in order of time.
 
 use shalewall::{TimeDelta, Timestamp};
 
-/// A load record says nothing of a time later than this.
+/// Time after which a load record is stale.
 const LOAD_VALIDITY: TimeDelta = TimeDelta::from_millis(1500);
 /// A node has capacity below these fractions of its link, its uplink and its streams.
 const CAPACITY_LIMIT: Load = Load {
@@ -11,7 +11,7 @@
     streams: 0.95,
 };
 
-/// What is asked of a node, as fractions of what it can give.
+/// Demand on a node, as fractions of its capacity.
 #[derive(Clone, Copy)]
 pub(super) struct Load {
     pub link: f64,
@@ -52,7 +52,7 @@
         self.last(time).map(|change| change.value)
     }
 
-    /// Values that began after `from` and not after `until`.
+    /// Values set after `from` and not after `until`.
     fn within(&self, from: Timestamp, until: Timestamp) -> impl Iterator<Item = T> {
         let changes = self.0.iter();
         changes
@@ -62,13 +62,13 @@
 }
 
 impl Changes<bool> {
-    /// Whether it was true at any time of a span.
+    /// Whether the value was true at any time between `from` and `until`.
     pub fn ever(&self, from: Timestamp, until: Timestamp) -> bool {
         self.at(from) == Some(true) || self.within(from, until).any(|value| value)
     }
 }
 
-/// What is known of a node.
+/// Recorded history of a node.
 #[derive(Default)]
 pub(super) struct NodeHistory {
     pub cell: Option<u64>,
@@ -100,7 +100,7 @@
         self.up.at(time) == Some(true)
     }
 
-    /// Whether its process ran, and did not stand still.
+    /// Whether its process was running and not frozen.
     pub fn is_healthy(&self, time: Timestamp) -> bool {
         self.is_up(time) && self.frozen.at(time) != Some(true)
     }
@@ -110,7 +110,7 @@
         self.is_healthy(time) && load.is_some_and(|load| load.below(CAPACITY_LIMIT))
     }
 
-    /// Whether more was requested of its link or uplink than they give, after `from` and not after `until`.
+    /// Whether the demand on its link or uplink exceeded the bandwidth after `from` and not after `until`.
     pub fn was_short(&self, from: Timestamp, until: Timestamp) -> bool {
         let mut loads = self.loads.within(from, until);
         loads.any(|load| load.link.max(load.uplink) > 1.0)
--- a/crates/audit/src/migrations/observations.rs
+++ b/crates/audit/src/migrations/observations.rs
@@ -1,6 +1,6 @@
-//! What records say of nodes, sessions, migrations and gaps.
+//! Nodes, sessions, migrations and gaps, collected from the records.
 
-use super::BUFFER_LENGTH;
+use super::GAP_CAUSE_WINDOW;
 use super::node_history::{Changes, Load, NodeHistory};
 use super::report::GapCause;
 use crate::record::{READY, Record};
@@ -8,7 +8,7 @@
 use shalewall::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// From when on a session was at a node.
+/// Start of a session's stay at a node.
 struct Stay {
     from: Timestamp,
     node: u64,
@@ -17,12 +17,12 @@
 pub(super) struct Session {
     pub director: u32,
     title: String,
-    /// Where it was, in order of time.
+    /// Its nodes, in order of time.
     stays: Vec<Stay>,
 }
 
 impl Session {
-    /// The node that it was at before a time; 0 if none.
+    /// The node at which it was before a time; 0 if none.
     pub fn node_before(&self, time: Timestamp) -> u64 {
         let mut stays = self.stays.iter().rev();
         let stay = stays.find(|stay| stay.from < time);
@@ -30,7 +30,7 @@
     }
 }
 
-/// A session's migration that its player followed. Ordered by the time of that.
+/// A migration that the session's player followed. Ordered by the time of the player's fetch.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Migration {
     pub fetched_at: Timestamp,
@@ -40,14 +40,14 @@
     pub requested_at: Timestamp,
 }
 
-/// A time for which a picture stood still.
+/// A playback gap of a session.
 pub(super) struct Gap {
     pub start: Timestamp,
     pub session: u64,
     pub length: TimeDelta,
 }
 
-/// One stay of a session at one node: the epoch grows by each migration.
+/// A session in one of its epochs; each migration starts a new epoch.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SessionEpoch {
     session: u64,
@@ -60,13 +60,13 @@
     }
 }
 
-/// The first fetch of a session's player in an epoch.
+/// A fetch by a session's player.
 struct Fetch {
     time: Timestamp,
     node: u64,
 }
 
-/// A node as a director was notified of it.
+/// A node, and a director that was notified of its state.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Notified {
     director: u32,
@@ -82,7 +82,7 @@
     pub served_twice: u64,
     /// Whether a director was notified that a node is draining or gone.
     leaving: BTreeMap<Notified, Changes<bool>>,
-    /// When a target was first requested to take the session.
+    /// When the migration was first requested from the target.
     requested: BTreeMap<SessionEpoch, Timestamp>,
     fetched: BTreeMap<SessionEpoch, Fetch>,
 }
@@ -190,7 +190,7 @@
         self.nodes.entry(node).or_default()
     }
 
-    /// All migrations, in order of their fetches.
+    /// All migrations, in order of their fetch times.
     pub fn migrations(&self) -> Vec<Migration> {
         let fetched = self.fetched.iter();
         let mut migrations: Vec<Migration> = fetched
@@ -206,8 +206,8 @@
         migrations
     }
 
-    /// The session of a migration is at its target from now on. Returns the source, 0 if unknown; none if the
-    /// session is unknown.
+    /// Moves the session of a migration to its target. Returns the source, or 0 if it is unknown; `None` if the session
+    /// is unknown.
     pub fn complete_migration(&mut self, migration: &Migration) -> Option<u64> {
         let session = self.sessions.get_mut(&migration.session)?;
         let source = session.stays.last().map_or(0, |stay| stay.node);
@@ -218,7 +218,8 @@
         Some(source)
     }
 
-    /// Whether a director had it at any time of a span that a node is draining or gone.
+    /// Whether, at any time between `from` and `until`, a director's last notification said that a node is draining or
+    /// gone.
     pub fn was_leaving(&self, director: u32, node: u64, from: Timestamp, until: Timestamp) -> bool {
         let leaving = self.leaving.get(&Notified { director, node });
         leaving.is_some_and(|changes| changes.ever(from, until))
@@ -246,7 +247,7 @@
 
     /// The cause of a gap of a session at a node.
     pub fn gap_cause(&self, session: &Session, node: u64, time: Timestamp) -> GapCause {
-        let from = time - BUFFER_LENGTH;
+        let from = time - GAP_CAUSE_WINDOW;
         let Some(history) = self.nodes.get(&node) else {
             return GapCause::Other;
         };
--- a/crates/audit/src/migrations/report.rs
+++ b/crates/audit/src/migrations/report.rs
@@ -1,4 +1,4 @@
-//! The report on the migrations and gaps of a day, in the summary's JSON form and as text.
+//! Report on the migrations and gaps of a day, as part of the JSON summary and as text.
 
 use crate::micros;
 use serde::Serialize;
@@ -6,23 +6,23 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Why a picture stood still, as far as nodes and endpoint list show it.
+/// Cause of a playback gap, derived from nodes and endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GapCause {
-    /// Its node died, or was draining.
+    /// The node died or was draining.
     #[serde(rename = "death")]
     NodeLost,
-    /// Its node's process stood still.
+    /// The node's process was frozen.
     #[serde(rename = "freeze")]
     NodeFrozen,
-    /// Links or uplinks gave less than was requested.
+    /// The demand on the node's link or uplink exceeded the bandwidth.
     Shortage,
-    /// None of these.
+    /// Any other cause.
     Other,
 }
 
-/// The name that reports use.
+/// Name that reports use.
 impl fmt::Display for GapCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -34,38 +34,38 @@
     }
 }
 
-/// What the migrations of a day came to. Lengths of time are microseconds in JSON.
+/// Results of the migrations of a day. Durations are microseconds in JSON.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct MigrationReport {
-    /// Migrations whose player fetched at the target.
+    /// Migrations whose player fetched from the target.
     #[serde(rename = "made")]
     pub completed: u64,
-    /// Of these, from a node that was healthy, or was again within 2 s.
+    /// Completed migrations from a node that was healthy, or recovered within 2 s.
     pub regretted: u64,
-    /// Most migrations of one session.
+    /// Largest number of migrations of one session.
     #[serde(rename = "most")]
     pub most_per_session: u64,
-    /// The longest gap around each migration, in order of length; zero: none.
+    /// The longest gap around each migration, in order of length; zero if there was none.
     #[serde(rename = "gaps", serialize_with = "micros::serialize_list")]
     pub longest_gaps: Vec<TimeDelta>,
-    /// Gaps over 200 ms of all sessions, by cause, where another node had capacity.
+    /// Gaps over 200 ms of all sessions for which another node had capacity, by cause.
     #[serde(rename = "with_room")]
     pub gaps_with_capacity: BTreeMap<GapCause, u64>,
-    /// The same where no other node had.
+    /// Gaps over 200 ms for which no other node had capacity, by cause.
     #[serde(rename = "without")]
     pub gaps_without_capacity: BTreeMap<GapCause, u64>,
-    /// Descriptions of the longest gaps where another node had capacity.
+    /// Descriptions of the longest gaps for which another node had capacity.
     #[serde(rename = "worst")]
     pub worst_gaps: Vec<String>,
-    /// The length of all gaps together.
+    /// Total length of all gaps.
     #[serde(rename = "stood", serialize_with = "micros::serialize")]
     pub total_gap_time: TimeDelta,
-    /// Epochs of a session that two nodes served.
+    /// Number of session epochs that two nodes served.
     pub served_twice: u64,
 }
 
 impl MigrationReport {
-    /// The gap that this fraction of the migrations stays within.
+    /// Quantile of the longest gaps around the migrations.
     pub fn gap_quantile(&self, fraction: f64) -> TimeDelta {
         let count = self.longest_gaps.len();
         let rank = (count as f64 * fraction).ceil() as usize;
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -1,32 +1,32 @@
-//! The records of a recording: one JSON object a line, each with its time in microseconds on the clock of the machine.
-//! Keys and tags of the JSON form are those of earlier recordings.
+//! Records of a recording: one JSON object per line, each with its time in microseconds on the machine's clock. The
+//! keys and tags of the JSON form are stable, so that recordings of earlier versions can be read.
 
 use crate::micros;
 use serde::{Deserialize, Serialize};
 use shalewall::{TimeDelta, Timestamp};
 use std::fmt;
 
-/// The standing of a node that takes sessions, as the endpoint list names it.
+/// State of a node that accepts sessions, as the endpoint list names it.
 pub(crate) const READY: &str = "ready";
 
-/// How a set-up ended at its node.
+/// Outcome of a set-up at its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SetUpOutcome {
-    /// The session plays there.
+    /// The session plays at the node.
     #[serde(rename = "plays")]
     Playing,
-    /// Rejected, with the proof that nothing was executed.
+    /// Rejected without being executed.
     #[serde(rename = "turned_away")]
     Rejected,
-    /// The director closed its connection, or the node died, before it was answered.
+    /// The director closed the connection, or the node died, before a response was sent.
     #[serde(rename = "given")]
     Abandoned,
-    /// Released before it began.
+    /// The session was released before the set-up began.
     #[serde(rename = "ended")]
     Cancelled,
 }
 
-/// The name that the evidence of findings uses.
+/// Name that the evidence of findings uses.
 impl fmt::Display for SetUpOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -38,13 +38,13 @@
     }
 }
 
-/// How long a rung was in force. A pair in the file.
+/// Playback time at a rung. Stored as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(usize, i64)", into = "(usize, i64)")]
 pub struct RungTime {
-    /// The rung of the ladder.
+    /// Rung of the ladder.
     pub rung: usize,
-    /// For so long.
+    /// Duration.
     pub duration: TimeDelta,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// One event on a socket, as its end at a node, the endpoint list or a viewer saw it; or a change of a process.
+/// An event on a socket, as seen by a node, the endpoint list or a viewer, or a state change of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what")]
 pub enum Record {
@@ -71,35 +71,35 @@
     /// A node's process started.
     #[serde(rename = "node_up")]
     NodeStarted {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
-        /// Set-ups that the node can execute at a time when it is warm.
+        /// Number of concurrent streams of the node when it is warm.
         places: f64,
-        /// Whether it has its full capacity at once.
+        /// Whether it has its full capacity from its start.
         warm: bool,
-        /// The cell that it is in.
+        /// Cell of the node.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cell: Option<u64>,
     },
     /// A node's process died.
     #[serde(rename = "node_down")]
     NodeStopped {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
-        /// Whether it died of overload while it warmed up.
+        /// Whether it failed of overload while it was warming up.
         #[serde(rename = "fell")]
         overloaded: bool,
     },
     /// A set-up arrived complete.
     #[serde(rename = "set_up")]
     SetUpReceived {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
@@ -108,7 +108,7 @@
         director: u32,
         /// The session.
         session: u64,
-        /// 0 for the first attempt, then one for each retry.
+        /// Number of the attempt: 0 for the first one, incremented by each retry.
         attempt: u32,
         /// The tenant, if the request names one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -120,26 +120,26 @@
         /// The rung of the ladder.
         rung: usize,
     },
-    /// A set-up ended: it was answered, or its connection was closed.
+    /// A set-up ended: a response was sent, or its connection was closed.
     #[serde(rename = "set_up_done")]
     SetUpFinished {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
         /// The session.
         session: u64,
-        /// 0 for the first attempt, then one for each retry.
+        /// Number of the attempt: 0 for the first one, incremented by each retry.
         attempt: u32,
-        /// How it ended.
+        /// Outcome.
         #[serde(rename = "ran")]
         outcome: SetUpOutcome,
     },
     /// Part of a request arrived before its connection broke.
     #[serde(rename = "partial")]
     PartialRequest {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
@@ -154,7 +154,7 @@
     /// A session's rung was changed.
     #[serde(rename = "rung")]
     RungChanged {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
@@ -167,21 +167,21 @@
     /// A session ended at its node.
     #[serde(rename = "over")]
     SessionEnded {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
         /// The session.
         session: u64,
-        /// 0 for the first attempt, then one for each retry.
+        /// Number of the attempt: 0 for the first one, incremented by each retry.
         attempt: u32,
     },
 
-    /// A migration arrived complete: a session that plays elsewhere is to be prepared here.
+    /// A migration request arrived complete: a session that plays at another node is to be prepared at this one.
     #[serde(rename = "hand_in")]
     MigrationReceived {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
@@ -190,9 +190,9 @@
         director: u32,
         /// The session.
         session: u64,
-        /// 0 for the first attempt, then one for each retry.
+        /// Number of the attempt: 0 for the first one, incremented by each retry.
         attempt: u32,
-        /// Grows by each migration of the session.
+        /// Epoch of the session, incremented by each migration.
         epoch: u32,
         /// The tenant, if the request names one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -204,78 +204,78 @@
         /// The rung of the ladder.
         rung: usize,
     },
-    /// A migrated session is ready here.
+    /// A migrated session is ready at its target.
     #[serde(rename = "hand_in_done")]
     MigrationReady {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
         /// The session.
         session: u64,
-        /// 0 for the first attempt, then one for each retry.
+        /// Number of the attempt: 0 for the first one, incremented by each retry.
         attempt: u32,
-        /// Grows by each migration of the session.
+        /// Epoch of the session, incremented by each migration.
         epoch: u32,
-        /// How it ended.
+        /// Outcome.
         #[serde(rename = "ran")]
         outcome: SetUpOutcome,
     },
-    /// The player of a migrated session fetched it here.
+    /// The player of a migrated session fetched it from its target.
     #[serde(rename = "fetched")]
     PlayerFetched {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
         /// The session.
         session: u64,
-        /// 0 for the first attempt, then one for each retry.
+        /// Number of the attempt: 0 for the first one, incremented by each retry.
         attempt: u32,
-        /// Grows by each migration of the session.
+        /// Epoch of the session, incremented by each migration.
         epoch: u32,
     },
-    /// A node's process stands still.
+    /// A node's process was suspended.
     #[serde(rename = "froze")]
     NodeFrozen {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
     },
-    /// A node's process runs again.
+    /// A node's process was resumed.
     #[serde(rename = "thawed")]
     NodeResumed {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
     },
-    /// What is requested of a node, as fractions of what it can give.
+    /// Demand on a node, as fractions of its capacity.
     #[serde(rename = "load")]
     NodeLoad {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The node.
         node: u64,
-        /// Of its link.
+        /// Utilization of its link.
         link: f64,
-        /// Of its uplink.
+        /// Utilization of its rack's uplink.
         uplink: f64,
-        /// Of its streams.
+        /// Utilization of its streams.
         streams: f64,
     },
 
     // list
-    /// A director was notified of a node's standing.
+    /// A director was notified of a node's state.
     #[serde(rename = "told")]
     EndpointNotified {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The director.
@@ -284,7 +284,7 @@
         node: u64,
         /// `ready`, `draining` or `gone`.
         standing: String,
-        /// When the node's process started, if the notification says so.
+        /// Start time of the node's process, if the notification contains it.
         #[serde(default, rename = "came_up", with = "micros::optional_timestamp")]
         node_started: Option<Timestamp>,
     },
@@ -293,12 +293,12 @@
     /// A viewer's request was sent complete.
     #[serde(rename = "asked")]
     RequestSent {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The director.
         director: u32,
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "ask")]
         request: u64,
         /// The idempotency key.
@@ -310,81 +310,81 @@
         class: String,
         /// The title.
         title: String,
-        /// How long the viewer waits for an answer.
+        /// Time that the viewer waits for a response.
         #[serde(rename = "wait", with = "micros")]
         timeout: TimeDelta,
     },
-    /// A request's answer was read complete.
+    /// A response was received complete.
     #[serde(rename = "answered")]
     RequestAnswered {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "ask")]
         request: u64,
         /// The HTTP status.
         status: u16,
-        /// The session that plays or was rejected.
+        /// The session that plays, or that was rejected.
         session: Option<u64>,
     },
-    /// A request's connection ended without an answer.
+    /// A request's connection ended without a response.
     #[serde(rename = "unanswered")]
     RequestUnanswered {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "ask")]
         request: u64,
     },
-    /// The viewer closed the connection before an answer arrived.
+    /// The viewer closed the connection before a response arrived.
     #[serde(rename = "left")]
     RequestCancelled {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "ask")]
         request: u64,
     },
-    /// What a viewer received of a session.
+    /// Playback of a session by a viewer.
     #[serde(rename = "watched")]
     SessionWatched {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "ask")]
         request: u64,
         /// The session.
         session: u64,
-        /// For so long.
+        /// Duration.
         #[serde(rename = "micros", with = "micros")]
         duration: TimeDelta,
         /// Bytes received.
         #[serde(rename = "got")]
         bytes_received: u64,
-        /// Bytes that the full rates would have been.
+        /// Bytes at the full rates.
         #[serde(rename = "due")]
         bytes_expected: u64,
-        /// How long each rung was in force.
+        /// Playback time at each rung.
         #[serde(rename = "rungs")]
         rung_times: Vec<RungTime>,
     },
 
-    /// The picture stood still from this time on.
+    /// A playback gap began.
     #[serde(rename = "gap")]
     PlaybackGap {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "ask")]
         request: u64,
         /// The session.
         session: u64,
-        /// For so long.
+        /// Duration.
         #[serde(rename = "micros", with = "micros")]
         duration: TimeDelta,
     },
@@ -393,7 +393,7 @@
     /// A director's process started.
     #[serde(rename = "director_up")]
     DirectorStarted {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The director.
@@ -402,28 +402,28 @@
     /// A director was killed.
     #[serde(rename = "director_killed")]
     DirectorKilled {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The director.
         director: u32,
     },
-    /// A director was stopped from outside.
+    /// A director's process was suspended.
     #[serde(rename = "director_stalled")]
     DirectorStalled {
-        /// When.
+        /// Time of the event.
         #[serde(rename = "t", with = "micros::timestamp")]
         time: Timestamp,
         /// The director.
         director: u32,
-        /// Until when.
+        /// End of the suspension.
         #[serde(with = "micros::timestamp")]
         until: Timestamp,
     },
 }
 
 impl Record {
-    /// When it happened, on the clock of the machine.
+    /// Time of the event on the machine's clock.
     pub fn time(&self) -> Timestamp {
         match self {
             Record::NodeStarted { time, .. }
--- a/crates/audit/src/recording.rs
+++ b/crates/audit/src/recording.rs
@@ -1,4 +1,4 @@
-//! Files of a recording: one JSON record a line in each `*.jsonl` of a folder, and the rules beside them.
+//! Files of a recording: `*.jsonl` files of a directory with one JSON record per line, and the rules in `rules.json`.
 
 use crate::record::Record;
 use crate::rules::Rules;
@@ -9,11 +9,11 @@
 const RECORDING_EXTENSION: &str = "jsonl";
 const RULES_FILE: &str = "rules.json";
 
-/// Writes records to a file, one a line.
+/// Writes records to a file, one per line.
 pub struct Writer(BufWriter<File>);
 
 impl Writer {
-    /// Creates the file, or empties it.
+    /// Creates the file, or truncates an existing one.
     pub fn create(path: &Path) -> io::Result<Writer> {
         Ok(Writer(BufWriter::new(File::create(path)?)))
     }
@@ -24,14 +24,14 @@
         self.0.write_all(b"\n")
     }
 
-    /// Hands what is buffered to the operating system.
+    /// Writes buffered records to the file.
     pub fn flush(&mut self) -> io::Result<()> {
         self.0.flush()
     }
 }
 
-/// Reads all recordings of a folder, in order of time. A line that can't be read is an error that names file and
-/// line: an incomplete recording proves nothing.
+/// Reads all recordings of a directory, in order of time. A line that cannot be parsed is an error that names file and
+/// line, because an incomplete recording proves nothing.
 pub fn read(dir: &Path) -> io::Result<Vec<Record>> {
     let mut records = Vec::new();
     for path in recording_paths(dir)? {
@@ -41,7 +41,7 @@
     Ok(records)
 }
 
-/// Reads the rules that a day wrote beside its recordings.
+/// Reads the rules that a day wrote to the directory of its recordings.
 pub fn read_rules(dir: &Path) -> io::Result<Rules> {
     let path = dir.join(RULES_FILE);
     let text = std::fs::read_to_string(&path)?;
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -1,50 +1,50 @@
-//! The figures by which a recording is judged, as `rules.json` holds them.
+//! Parameters of the rules by which a recording is judged, in the format of `rules.json`.
 
 use crate::micros;
 use serde::{Deserialize, Serialize};
 use shalewall::TimeDelta;
 use std::collections::BTreeMap;
 
-/// The figures by which a recording is judged. Lengths of time are microseconds in the file.
+/// Parameters of the rules by which a recording is judged. Durations are microseconds in the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     /// Classes of session by name.
     pub classes: BTreeMap<String, ClassRule>,
-    /// Classes of tenants that have their own.
+    /// Classes of those tenants that have their own.
     #[serde(default)]
     pub tenants: BTreeMap<String, BTreeMap<String, ClassRule>>,
-    /// A director that was notified of a drain sends nothing new to the node after this.
+    /// Time after the notification of a drain from which a director sends no new sessions to the node.
     #[serde(with = "micros")]
     pub drain_within: TimeDelta,
-    /// An answer may come so much later than the viewer's own limit.
+    /// Time by which a response may exceed the viewer's timeout.
     #[serde(with = "micros")]
     pub answer_slack: TimeDelta,
-    /// A node is warm so long after its process started.
+    /// Time from the start of a node's process until it has its full capacity.
     #[serde(with = "micros")]
     pub warm_after: TimeDelta,
     /// Fraction of its capacity that a node has when its process starts.
     pub start_capacity: f64,
-    /// A node that warms up fails when it is sent more than so many times its present pace.
+    /// A node that is warming up fails above this multiple of the set-up rate that its current capacity allows.
     pub overload_factor: f64,
-    /// The window over which that pace is measured; zero: nodes don't fail of it.
+    /// Window over which that rate is measured; zero disables the slow start rule.
     #[serde(rename = "fall", with = "micros")]
     pub overload_window: TimeDelta,
-    /// The limit of retries; none: no limit.
+    /// Limit of retries; `None` for no limit.
     #[serde(rename = "further")]
     pub retry_budget: Option<RetryBudget>,
     /// Number of cells.
     #[serde(default)]
     pub cells: u64,
-    /// Where the nodes of each title are.
+    /// Placement of each title.
     #[serde(default)]
     pub titles: BTreeMap<String, Placement>,
-    /// What passes on one machine may be seen so much later, or in another order.
+    /// Tolerance for events that are seen late or reordered, because all processes share one machine.
     #[serde(with = "micros")]
     pub transit: TimeDelta,
 }
 
 impl Rules {
-    /// What holds for a class as a tenant's viewers name it.
+    /// Rule of a class, as the tenant's viewers name it.
     pub fn class(&self, tenant: Option<&str>, class: &str) -> Option<&ClassRule> {
         let own_classes = tenant.and_then(|name| self.tenants.get(name));
         own_classes.unwrap_or(&self.classes).get(class)
@@ -55,21 +55,21 @@
         self.class(tenant, class).is_none_or(|rule| rule.paid)
     }
 
-    /// The tenant, where it has its own classes: its sessions share no seats with those of others.
+    /// The tenant if it has its own classes; its sessions then share no seats with those of others.
     pub fn seat_owner(&self, tenant: Option<&str>) -> Option<String> {
         let owner = tenant.filter(|name| self.tenants.contains_key(*name));
         owner.map(str::to_string)
     }
 }
 
-/// What holds for a class of sessions.
+/// Rule for a class of sessions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassRule {
-    /// A set-up that may have been executed must not be sent again.
+    /// Whether a set-up that may have been executed must not be retried.
     pub paid: bool,
-    /// The lowest rung that a session may have; 0: any.
+    /// Lowest rung of a session; 0 allows any rung.
     pub floor: usize,
-    /// Sessions that one director may hold of one title; 0: any number.
+    /// Maximum number of sessions of one title per director; 0 for no limit.
     pub seats: u32,
 }
 
@@ -78,14 +78,14 @@
 pub struct RetryBudget {
     /// Retries that are always allowed.
     pub free: f64,
-    /// Retries for each request that arrived within the window.
+    /// Additional retries for each request within the window.
     pub per_request: f64,
     /// Length of the window.
     #[serde(rename = "span", with = "micros")]
     pub window: TimeDelta,
 }
 
-/// The cells that hold a title: `spread` consecutive ones from `home` on. A pair in the file.
+/// Cells that hold a title: `spread` consecutive ones from `home` on, in a ring. Stored as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct Placement {
@@ -96,7 +96,7 @@
 }
 
 impl Placement {
-    /// Whether a cell is among them, of `cells` in a ring.
+    /// Whether a cell holds the title, in a ring of `cells` cells.
     pub fn contains(&self, cell: u64, cells: u64) -> bool {
         (cell + cells - self.home) % cells.max(1) < self.spread
     }
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -1,26 +1,26 @@
-//! What a recording shows of the six rules: breaches with their evidence, and how much each rule was tested.
+//! Result of an audit: violations of the six rules with their evidence, and the coverage of each rule.
 
 use shalewall::Timestamp;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Findings that the text of a verdict lists.
+/// Maximum number of findings that the text of a verdict lists.
 const LISTED_FINDINGS: usize = 20;
 
 /// The six rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request taken by a running director has one answer in time.
+    /// Each request to a running director gets exactly one response in time.
     OneAnswer,
     /// No paid set-up is executed twice, and no two attempts of a session are in flight.
     NoDuplicateSetUp,
-    /// Nothing new is sent to a node that is draining or gone.
+    /// No new session is sent to a node that is draining or gone.
     Draining,
-    /// No node that warms up is sent more than its pace.
+    /// No node that is warming up gets more set-ups than its slow start allows.
     SlowStart,
-    /// Sessions keep their class's floor, and directors its seats.
+    /// Sessions stay at or above the floor of their class, and directors within its seats.
     FloorsAndSeats,
-    /// Retries stay within their budget.
+    /// Retries stay within the retry budget.
     RetryBudget,
 }
 
@@ -35,7 +35,7 @@
         Rule::RetryBudget,
     ];
 
-    /// The name that reports and summaries use.
+    /// Name that reports and summaries use.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAnswer => "one answer in time",
@@ -48,25 +48,25 @@
     }
 }
 
-/// A breach of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// The rule that was broken.
+    /// Rule that was violated.
     pub rule: Rule,
-    /// When.
+    /// Time of the violation.
     pub time: Timestamp,
-    /// How.
+    /// Description of the violation.
     pub evidence: String,
-    /// The tenant of the session or request, if it has one.
+    /// Tenant of the session or request, if it has one.
     pub tenant: Option<String>,
 }
 
-/// How much a rule was tested. A rule without a test was not shown to hold.
+/// Coverage of a rule by checks. A rule without checks was not shown to hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Coverage {
-    /// How near it came to its limit: 1 is at it.
+    /// Largest fraction of the limit that a check reached; 1 is the limit.
     pub max_limit_fraction: f64,
-    /// How many things it was tested on.
+    /// Number of checks.
     pub checks: u64,
 }
 
@@ -77,25 +77,25 @@
     }
 }
 
-/// What a recording shows.
+/// Result of an audit.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Breaches, in order of time.
+    /// Violations, in order of time.
     pub findings: Vec<Finding>,
-    /// How much each rule was tested; absent where nothing tested it.
+    /// Coverage of each rule that was checked at least once.
     pub coverage: BTreeMap<Rule, Coverage>,
-    /// The same for each tenant's requests and sessions.
+    /// Coverage by the requests and sessions of each tenant.
     pub tenants: BTreeMap<String, BTreeMap<Rule, Coverage>>,
 }
 
 impl Verdict {
-    /// Whether no rule was broken.
+    /// Whether no rule was violated.
     pub fn holds(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// Counts a test of a rule. `utilization`: how near it came to the limit, 1 is at it.
-    pub(crate) fn record_test(&mut self, rule: Rule, tenant: Option<&str>, utilization: f64) {
+    /// Counts a check of a rule. `utilization` is the reached fraction of the limit.
+    pub(crate) fn record_check(&mut self, rule: Rule, tenant: Option<&str>, utilization: f64) {
         self.coverage.entry(rule).or_default().record(utilization);
         if let Some(tenant) = tenant {
             let coverage = self.tenants.entry(tenant.to_string()).or_default();
@@ -103,7 +103,7 @@
         }
     }
 
-    pub(crate) fn record_breach(
+    pub(crate) fn record_violation(
         &mut self,
         rule: Rule,
         tenant: Option<&str>,
@@ -118,12 +118,12 @@
         });
     }
 
-    fn breaches(&self, rule: Rule) -> usize {
+    fn violations(&self, rule: Rule) -> usize {
         let of_rule = |finding: &&Finding| finding.rule == rule;
         self.findings.iter().filter(of_rule).count()
     }
 
-    fn tenant_breaches(&self, rule: Rule, tenant: &str) -> usize {
+    fn tenant_violations(&self, rule: Rule, tenant: &str) -> usize {
         let of_tenant =
             |finding: &&Finding| finding.rule == rule && finding.tenant.as_deref() == Some(tenant);
         self.findings.iter().filter(of_tenant).count()
@@ -131,25 +131,27 @@
 
     fn rule_line(&self, rule: Rule) -> String {
         let coverage = self.coverage.get(&rule);
-        let tests = coverage.map_or(0, |coverage| coverage.checks);
-        let nearest = coverage.map_or("-".to_string(), |coverage| {
+        let checks = coverage.map_or(0, |coverage| coverage.checks);
+        let max_limit_fraction = coverage.map_or("-".to_string(), |coverage| {
             format!("{:.0}%", coverage.max_limit_fraction * 100.0)
         });
-        let state = match (self.breaches(rule), tests) {
+        let state = match (self.violations(rule), checks) {
             (0, 0) => "not tested".to_string(),
             (0, _) => "kept".to_string(),
-            (breaches, _) => format!("BROKEN {breaches} times"),
+            (violations, _) => format!("BROKEN {violations} times"),
         };
         let name = rule.name();
-        format!("{name:<26} {state:<16} tested {tests:>6}, nearest to its limit {nearest}")
+        format!(
+            "{name:<26} {state:<16} tested {checks:>6}, nearest to its limit {max_limit_fraction}"
+        )
     }
 
     fn tenant_rule(&self, rule: Rule, tenant: &str, coverage: Option<&Coverage>) -> String {
         let name = rule.name();
-        match (self.tenant_breaches(rule, tenant), coverage) {
+        match (self.tenant_violations(rule, tenant), coverage) {
             (0, None) => format!("{name} not tested"),
             (0, Some(coverage)) => format!("{name} kept ({})", coverage.checks),
-            (breaches, _) => format!("{name} BROKEN {breaches} times"),
+            (violations, _) => format!("{name} BROKEN {violations} times"),
         }
     }
 }
--- a/crates/audit/tests/recording.rs
+++ b/crates/audit/tests/recording.rs
@@ -1,8 +1,8 @@
-//! The form of recordings: keys, tags and bare integers stay as earlier recordings have them.
+//! Tests for the format of recordings: keys, tags and integer times must match those of earlier recordings.
 
 use shalewall_audit::{Record, read};
 
-/// Lines of a recording, one of each kind and with its optional keys.
+/// Lines of a recording: each kind of record, with and without optional keys.
 const LINES: [&str; 30] = [
     r#"{"what":"node_up","t":0,"node":1,"places":10.0,"warm":false}"#,
     r#"{"what":"node_up","t":0,"node":1,"places":10.0,"warm":true,"cell":2}"#,
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_notification_without_a_start_may_leave_out_its_key() {
+fn the_start_time_of_a_notification_is_optional() {
     let line = r#"{"what":"told","t":1,"director":0,"node":1,"standing":"gone"}"#;
     let record: Record = serde_json::from_str(line).unwrap();
     let Record::EndpointNotified { node_started, .. } = record else {
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -1,4 +1,4 @@
-//! For each rule: a recording that breaks this rule only, and one that stays just within it.
+//! Tests for each rule: a recording that violates only this rule, and one that stays just within its limit.
 
 use shalewall_audit::{
     ClassRule, Placement, Record, RetryBudget, Rule, Rules, SetUpOutcome, TimeDelta, Timestamp,
@@ -6,8 +6,8 @@
 };
 use std::collections::BTreeMap;
 
-/// A second, in microseconds.
-const S: i64 = 1_000_000;
+/// One second in microseconds.
+const SECOND: i64 = 1_000_000;
 
 fn at(micros: i64) -> Timestamp {
     Timestamp::from_micros(micros)
@@ -24,8 +24,8 @@
             "own".to_string(),
             BTreeMap::from([("open".to_string(), class(true, 0, 1))]),
         )]),
-        drain_within: TimeDelta::from_micros(S / 4),
-        answer_slack: TimeDelta::from_micros(S / 20),
+        drain_within: TimeDelta::from_micros(SECOND / 4),
+        answer_slack: TimeDelta::from_micros(SECOND / 20),
         warm_after: TimeDelta::from_secs(10),
         start_capacity: 0.4,
         overload_factor: 2.0,
@@ -35,7 +35,7 @@
             per_request: 0.5,
             window: TimeDelta::from_secs(10),
         }),
-        transit: TimeDelta::from_micros(S / 20),
+        transit: TimeDelta::from_micros(SECOND / 20),
         cells: 4,
         titles: BTreeMap::from([("t".to_string(), Placement { home: 0, spread: 4 })]),
     }
@@ -84,7 +84,7 @@
         tenant: None,
         class,
         title,
-        timeout: TimeDelta::from_micros(2 * S),
+        timeout: TimeDelta::from_micros(2 * SECOND),
     }
 }
 
@@ -108,7 +108,7 @@
 }
 
 #[track_caller]
-fn assert_breach(mut records: Vec<Record>, rule: Option<Rule>) {
+fn assert_violation(mut records: Vec<Record>, rule: Option<Rule>) {
     records.sort_by_key(Record::time);
     let verdict = judge(&records, &rules());
     let found: Vec<Rule> = verdict.findings.iter().map(|f| f.rule).collect();
@@ -120,67 +120,70 @@
 
 #[test]
 fn every_request_has_one_answer_in_time() {
-    let late = S / 20 + S / 20;
-    assert_breach(
+    let tolerance = SECOND / 20 + SECOND / 20;
+    assert_violation(
         vec![
             request_sent(0, 1, "open"),
-            request_answered(2 * S + late, 1, 201, 1),
+            request_answered(2 * SECOND + tolerance, 1, 201, 1),
         ],
         None,
     );
-    assert_breach(
+    assert_violation(
         vec![
             request_sent(0, 1, "open"),
-            request_answered(2 * S + late + 1, 1, 201, 1),
+            request_answered(2 * SECOND + tolerance + 1, 1, 201, 1),
         ],
         Some(Rule::OneAnswer),
     );
     let twice = vec![
         request_sent(0, 1, "open"),
-        request_answered(S, 1, 201, 1),
-        request_answered(S, 1, 503, 1),
+        request_answered(SECOND, 1, 201, 1),
+        request_answered(SECOND, 1, 503, 1),
     ];
-    assert_breach(twice, Some(Rule::OneAnswer));
-    assert_breach(
-        vec![request_sent(0, 1, "open"), request_sent(9 * S, 2, "open")],
+    assert_violation(twice, Some(Rule::OneAnswer));
+    assert_violation(
+        vec![
+            request_sent(0, 1, "open"),
+            request_sent(9 * SECOND, 2, "open"),
+        ],
         Some(Rule::OneAnswer),
     );
-    assert_breach(
+    assert_violation(
         vec![
             request_sent(0, 1, "open"),
             Record::RequestUnanswered {
-                time: at(S),
+                time: at(SECOND),
                 request: 1,
             },
         ],
         Some(Rule::OneAnswer),
     );
-    // A killed director owes nothing, one that was stopped owes it later.
+    // A killed director owes no response; a suspended one may respond later.
     let killed = Record::DirectorKilled {
-        time: at(S),
+        time: at(SECOND),
         director: 0,
     };
-    assert_breach(
+    assert_violation(
         vec![
             request_sent(0, 1, "open"),
             killed,
             Record::RequestUnanswered {
-                time: at(S),
+                time: at(SECOND),
                 request: 1,
             },
         ],
         None,
     );
     let stalled = Record::DirectorStalled {
-        time: at(S),
+        time: at(SECOND),
         director: 0,
-        until: at(3 * S),
+        until: at(3 * SECOND),
     };
-    assert_breach(
+    assert_violation(
         vec![
             request_sent(0, 1, "open"),
             stalled,
-            request_answered(3 * S, 1, 504, 1),
+            request_answered(3 * SECOND, 1, 504, 1),
         ],
         None,
     );
@@ -188,32 +191,32 @@
 
 #[test]
 fn no_paid_set_up_is_executed_twice() {
-    for ran in [
+    for outcome in [
         SetUpOutcome::Playing,
         SetUpOutcome::Abandoned,
         SetUpOutcome::Cancelled,
     ] {
         let again = vec![
             set_up(0, 1, 0, "paid"),
-            set_up_finished(S, 1, 0, ran),
-            set_up(2 * S, 1, 1, "paid"),
+            set_up_finished(SECOND, 1, 0, outcome),
+            set_up(2 * SECOND, 1, 1, "paid"),
         ];
-        assert_breach(again, Some(Rule::NoDuplicateSetUp));
+        assert_violation(again, Some(Rule::NoDuplicateSetUp));
     }
     let proven = vec![
         set_up(0, 1, 0, "paid"),
-        set_up_finished(S, 1, 0, SetUpOutcome::Rejected),
-        set_up(2 * S, 1, 1, "paid"),
+        set_up_finished(SECOND, 1, 0, SetUpOutcome::Rejected),
+        set_up(2 * SECOND, 1, 1, "paid"),
     ];
-    assert_breach(proven, None);
+    assert_violation(proven, None);
     let harmless = vec![
         set_up(0, 1, 0, "open"),
-        set_up_finished(S, 1, 0, SetUpOutcome::Abandoned),
-        set_up(2 * S, 1, 1, "open"),
+        set_up_finished(SECOND, 1, 0, SetUpOutcome::Abandoned),
+        set_up(2 * SECOND, 1, 1, "open"),
     ];
-    assert_breach(harmless, None);
-    assert_breach(
-        vec![set_up(0, 1, 0, "open"), set_up(S, 1, 1, "open")],
+    assert_violation(harmless, None);
+    assert_violation(
+        vec![set_up(0, 1, 0, "open"), set_up(SECOND, 1, 1, "open")],
         Some(Rule::NoDuplicateSetUp),
     );
     let part = Record::PartialRequest {
@@ -223,69 +226,73 @@
         session: Some(1),
         attempt: Some(0),
     };
-    assert_breach(
-        vec![part.clone(), set_up(S, 1, 1, "paid")],
+    assert_violation(
+        vec![part.clone(), set_up(SECOND, 1, 1, "paid")],
         Some(Rule::NoDuplicateSetUp),
     );
-    assert_breach(vec![part, set_up(S, 1, 1, "open")], None);
-    // A refusal says that it never ran.
-    let refused = |ran| {
+    assert_violation(vec![part, set_up(SECOND, 1, 1, "open")], None);
+    // A rejection states that the set-up was not executed.
+    let rejected = |outcome| {
         vec![
             request_sent(0, 1, "paid"),
-            set_up(S / 2, 7, 0, "paid"),
-            set_up_finished(S, 7, 0, ran),
-            request_answered(S, 1, 503, 7),
+            set_up(SECOND / 2, 7, 0, "paid"),
+            set_up_finished(SECOND, 7, 0, outcome),
+            request_answered(SECOND, 1, 503, 7),
         ]
     };
-    assert_breach(refused(SetUpOutcome::Rejected), None);
-    assert_breach(
-        refused(SetUpOutcome::Abandoned),
+    assert_violation(rejected(SetUpOutcome::Rejected), None);
+    assert_violation(
+        rejected(SetUpOutcome::Abandoned),
         Some(Rule::NoDuplicateSetUp),
     );
 }
 
 #[test]
 fn nothing_new_is_sent_to_draining_nodes() {
-    let within = S / 4 + S / 20;
-    assert_breach(
+    let within = SECOND / 4 + SECOND / 20;
+    assert_violation(
         vec![
-            notified(S, "draining", None),
-            set_up(S + within, 1, 0, "open"),
+            notified(SECOND, "draining", None),
+            set_up(SECOND + within, 1, 0, "open"),
         ],
         None,
     );
-    assert_breach(
+    assert_violation(
         vec![
-            notified(S, "draining", None),
-            set_up(S + within + 1, 1, 0, "open"),
+            notified(SECOND, "draining", None),
+            set_up(SECOND + within + 1, 1, 0, "open"),
         ],
         Some(Rule::Draining),
     );
-    assert_breach(
-        vec![notified(S, "gone", None), set_up(3 * S, 1, 0, "open")],
+    assert_violation(
+        vec![
+            notified(SECOND, "gone", None),
+            set_up(3 * SECOND, 1, 0, "open"),
+        ],
         Some(Rule::Draining),
     );
-    assert_breach(
+    assert_violation(
         vec![
-            notified(S, "gone", None),
-            notified(2 * S, "ready", None),
-            set_up(3 * S, 1, 0, "open"),
+            notified(SECOND, "gone", None),
+            notified(2 * SECOND, "ready", None),
+            set_up(3 * SECOND, 1, 0, "open"),
         ],
         None,
     );
-    // Told again of the same drain is no new grace.
+    // A repeated notification of the same drain does not restart the grace period.
     let twice = vec![
-        notified(S, "draining", None),
-        notified(2 * S, "draining", None),
-        set_up(2 * S, 1, 0, "open"),
+        notified(SECOND, "draining", None),
+        notified(2 * SECOND, "draining", None),
+        set_up(2 * SECOND, 1, 0, "open"),
     ];
-    assert_breach(twice, Some(Rule::Draining));
+    assert_violation(twice, Some(Rule::Draining));
 }
 
 #[test]
 fn nodes_that_warm_up_are_not_overloaded() {
-    // 10 places over 10 s at 0.4, twice that over 2 s: 1.6, and 2 for chance.
-    let push = |n: u64, knew: bool| {
+    // 10 streams over 10 s of warm-up at capacity 0.4, times the overload factor 2 over a window of 2 s: 1.6 set-ups,
+    // plus a slack of 2.
+    let with_set_ups = |n: u64, knew: bool| {
         let mut records = vec![Record::NodeStarted {
             time: at(0),
             node: 1,
@@ -297,16 +304,16 @@
         records.extend((0..n).map(|i| set_up(1000 + i as i64, i, 0, "open")));
         records
     };
-    assert_breach(push(3, true), None);
-    assert_breach(push(4, true), Some(Rule::SlowStart));
-    assert_breach(push(4, false), None);
-    let mut fell = push(3, true);
-    fell.push(Record::NodeStopped {
+    assert_violation(with_set_ups(3, true), None);
+    assert_violation(with_set_ups(4, true), Some(Rule::SlowStart));
+    assert_violation(with_set_ups(4, false), None);
+    let mut overloaded = with_set_ups(3, true);
+    overloaded.push(Record::NodeStopped {
         time: at(5000),
         node: 1,
         overloaded: true,
     });
-    assert_breach(fell, Some(Rule::SlowStart));
+    assert_violation(overloaded, Some(Rule::SlowStart));
 }
 
 #[test]
@@ -315,14 +322,14 @@
     if let Record::SetUpReceived { rung, .. } = &mut low {
         *rung = 0;
     }
-    assert_breach(vec![low], Some(Rule::FloorsAndSeats));
+    assert_violation(vec![low], Some(Rule::FloorsAndSeats));
     let step = Record::RungChanged {
-        time: at(S),
+        time: at(SECOND),
         node: 1,
         session: 1,
         rung: 0,
     };
-    assert_breach(
+    assert_violation(
         vec![
             set_up(0, 1, 0, "paid"),
             set_up_finished(1, 1, 0, SetUpOutcome::Playing),
@@ -335,8 +342,8 @@
             .map(|i| set_up(i as i64, i, 0, "paid"))
             .collect::<Vec<_>>()
     };
-    assert_breach(seats(2), None);
-    assert_breach(seats(3), Some(Rule::FloorsAndSeats));
+    assert_violation(seats(2), None);
+    assert_violation(seats(3), Some(Rule::FloorsAndSeats));
     let mut freed = seats(2);
     freed.push(set_up_finished(10, 0, 0, SetUpOutcome::Playing));
     freed.push(Record::SessionEnded {
@@ -346,16 +353,16 @@
         attempt: 0,
     });
     freed.push(set_up(30, 9, 0, "paid"));
-    assert_breach(freed, None);
+    assert_violation(freed, None);
 }
 
 #[test]
 fn retries_stay_within_their_budget() {
-    // One free, and half of the two sessions taken.
-    let tries = |n: u64| {
+    // The limit is 1 free retry plus 0.5 for each of the two requests.
+    let with_retries = |n: u64| {
         let mut records = vec![request_sent(0, 1, "open"), request_sent(1, 2, "open")];
         for i in 0..n {
-            let t = S + 10 * i as i64;
+            let t = SECOND + 10 * i as i64;
             records.extend([
                 set_up(t, i, 0, "open"),
                 set_up_finished(t + 1, i, 0, SetUpOutcome::Abandoned),
@@ -363,18 +370,18 @@
             ]);
         }
         records.extend([
-            request_answered(S, 1, 201, 0),
-            request_answered(S, 2, 201, 1),
+            request_answered(SECOND, 1, 201, 0),
+            request_answered(SECOND, 2, 201, 1),
         ]);
         records
     };
-    assert_breach(tries(2), None);
-    assert_breach(tries(3), Some(Rule::RetryBudget));
+    assert_violation(with_retries(2), None);
+    assert_violation(with_retries(3), Some(Rule::RetryBudget));
 }
 
 #[test]
 fn tenants_with_own_classes_are_judged_by_them() {
-    // Its "open" is paid and has one seat; the site's is neither.
+    // The tenant's class "open" is paid and has one seat; the site's class "open" is not paid and has no seat limit.
     let others = || {
         vec![
             set_up(0, 1, 0, "open"),
@@ -382,7 +389,7 @@
             tenant_set_up(2, 3, 0, "open", Some("other")),
         ]
     };
-    assert_breach(
+    assert_violation(
         [others(), vec![tenant_set_up(3, 4, 0, "open", Some("own"))]].concat(),
         None,
     );
@@ -394,14 +401,14 @@
         ],
     ]
     .concat();
-    assert_breach(two.clone(), Some(Rule::FloorsAndSeats));
+    assert_violation(two.clone(), Some(Rule::FloorsAndSeats));
     two.sort_by_key(Record::time);
     let verdict = judge(&two, &rules());
     assert_eq!(verdict.findings[0].tenant.as_deref(), Some("own"));
-    let said = verdict.to_string();
+    let text = verdict.to_string();
     assert!(
-        said.contains("tenant own: ") && said.contains("floors and seats kept BROKEN 1 times"),
-        "{said}"
+        text.contains("tenant own: ") && text.contains("floors and seats kept BROKEN 1 times"),
+        "{text}"
     );
     assert_eq!(verdict.tenants["other"][&Rule::NoDuplicateSetUp].checks, 1);
     let again = vec![
@@ -409,5 +416,5 @@
         set_up_finished(1, 4, 0, SetUpOutcome::Abandoned),
         tenant_set_up(2, 4, 1, "open", Some("own")),
     ];
-    assert_breach(again, Some(Rule::NoDuplicateSetUp));
+    assert_violation(again, Some(Rule::NoDuplicateSetUp));
 }
--- a/crates/emulator/src/nodes/migration.rs
+++ b/crates/emulator/src/nodes/migration.rs
@@ -283,7 +283,8 @@
             .unwrap_or_default();
         Some(serde_json::json!({
             "session": attempt_id.session, "attempt": attempt_id.attempt, "viewer": p.viewer, "tenant": p.tenant,
-            "class": p.class, "title": p.title, "rung": p.rung, "serving": epochs.serving, "prepared": epochs.prepared, "media": media,
+            "class": p.class, "title": p.title, "rung": p.rung, "serving": epochs.serving,
+            "prepared": epochs.prepared, "media": media,
         }))
     }
 
--- a/crates/scripted-days/src/host_resources.rs
+++ b/crates/scripted-days/src/host_resources.rs
@@ -75,13 +75,13 @@
         let mut reasons = Vec::new();
         if self.timer_delay > MAX_TIMER_DELAY {
             reasons.push(format!(
-                "timers of the emulators fired up to {} ms late",
+                "timers of the stand-ins rang up to {} ms late",
                 self.timer_delay.as_millis()
             ));
         }
         if self.failed_connections > 0 {
             reasons.push(format!(
-                "{} connections of the emulators failed because descriptors or ports ran out",
+                "{} connections of the stand-ins failed for want of descriptors or ports",
                 self.failed_connections
             ));
         }
--- a/crates/scripted-days/src/summary.rs
+++ b/crates/scripted-days/src/summary.rs
@@ -180,24 +180,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "{} requests: {} played, {} rejected, {} failed, {} without a response; {} interrupted",
+            "{} asked: {} played, {} refused, {} failed, {} without an answer; {} broke off",
             self.requested, self.played, self.rejected, self.failed, self.unanswered, self.broken
         )?;
         writeln!(
             f,
-            "{} viewers: {:.1}% rejected at least once, {:.1}% never played",
+            "{} viewers: {:.1}% turned away at least once, {:.1}% never got to watch",
             self.viewers,
             self.viewers_rejected_fraction * 100.0,
             self.viewers_unserved_fraction * 100.0
         )?;
         writeln!(
             f,
-            "worth {:.3} of the worth offered within the day (emulated nodes)",
+            "worth {:.3} of what was asked for within the day (stand-in nodes)",
             self.worth
         )?;
         writeln!(
             f,
-            "changes of rung {:.2} per session-minute",
+            "changes of rung {:.2} a session-minute",
             self.rung_changes_per_minute
         )?;
         let rungs: Vec<_> = self
@@ -232,7 +232,7 @@
         }
         writeln!(
             f,
-            "timers of the emulators fired up to {:.0} ms late",
+            "timers of the stand-ins rang up to {:.0} ms late",
             self.lag_ms
         )?;
         for why in &self.invalid_reasons {
--- a/crates/scripted-days/tests/faulty_director.rs
+++ b/crates/scripted-days/tests/faulty_director.rs
@@ -176,8 +176,8 @@
             }
         })
         .detach();
-    // Records the start of the director, as a scripted day does. It opens no event stream at the nodes, so no lease of it
-    // expires there.
+    // Records the start of the director, as a scripted day does. It opens no event stream at the nodes, so none of its
+    // leases expires there.
     emulation.recorder.record(Record::DirectorStarted {
         time: shalewall_clock::now(),
         director: 0,
