--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// One second in microseconds.
-const SECOND: i64 = 1_000_000;
+const SECOND_US: i64 = 1_000_000;
 
 fn at(micros: i64) -> Timestamp {
     Timestamp::from_micros(micros)
@@ -24,8 +24,8 @@
             "own".to_string(),
             BTreeMap::from([("open".to_string(), class(true, 0, 1))]),
         )]),
-        drain_within: TimeDelta::from_micros(SECOND / 4),
-        answer_slack: TimeDelta::from_micros(SECOND / 20),
+        drain_within: TimeDelta::from_micros(SECOND_US / 4),
+        answer_slack: TimeDelta::from_micros(SECOND_US / 20),
         warm_after: TimeDelta::from_secs(10),
         start_capacity: 0.4,
         overload_factor: 2.0,
@@ -35,7 +35,7 @@
             per_request: 0.5,
             window: TimeDelta::from_secs(10),
         }),
-        transit: TimeDelta::from_micros(SECOND / 20),
+        transit: TimeDelta::from_micros(SECOND_US / 20),
         cells: 4,
         titles: BTreeMap::from([("t".to_string(), Placement { home: 0, spread: 4 })]),
     }
@@ -84,7 +84,7 @@
         tenant: None,
         class,
         title,
-        timeout: TimeDelta::from_micros(2 * SECOND),
+        timeout: TimeDelta::from_micros(2 * SECOND_US),
     }
 }
 
@@ -120,31 +120,31 @@
 
 #[test]
 fn every_request_has_one_answer_in_time() {
-    let tolerance = SECOND / 20 + SECOND / 20;
+    let tolerance = SECOND_US / 20 + SECOND_US / 20;
     assert_violation(
         vec![
             request_sent(0, 1, "open"),
-            request_answered(2 * SECOND + tolerance, 1, 201, 1),
+            request_answered(2 * SECOND_US + tolerance, 1, 201, 1),
         ],
         None,
     );
     assert_violation(
         vec![
             request_sent(0, 1, "open"),
-            request_answered(2 * SECOND + tolerance + 1, 1, 201, 1),
+            request_answered(2 * SECOND_US + tolerance + 1, 1, 201, 1),
         ],
         Some(Rule::OneAnswer),
     );
     let twice = vec![
         request_sent(0, 1, "open"),
-        request_answered(SECOND, 1, 201, 1),
-        request_answered(SECOND, 1, 503, 1),
+        request_answered(SECOND_US, 1, 201, 1),
+        request_answered(SECOND_US, 1, 503, 1),
     ];
     assert_violation(twice, Some(Rule::OneAnswer));
     assert_violation(
         vec![
             request_sent(0, 1, "open"),
-            request_sent(9 * SECOND, 2, "open"),
+            request_sent(9 * SECOND_US, 2, "open"),
         ],
         Some(Rule::OneAnswer),
     );
@@ -152,7 +152,7 @@
         vec![
             request_sent(0, 1, "open"),
             Record::RequestUnanswered {
-                time: at(SECOND),
+                time: at(SECOND_US),
                 request: 1,
             },
         ],
@@ -160,7 +160,7 @@
     );
     // A killed director owes no response; a suspended one may respond later.
     let killed = Record::DirectorKilled {
-        time: at(SECOND),
+        time: at(SECOND_US),
         director: 0,
     };
     assert_violation(
@@ -168,22 +168,22 @@
             request_sent(0, 1, "open"),
             killed,
             Record::RequestUnanswered {
-                time: at(SECOND),
+                time: at(SECOND_US),
                 request: 1,
             },
         ],
         None,
     );
     let stalled = Record::DirectorStalled {
-        time: at(SECOND),
+        time: at(SECOND_US),
         director: 0,
-        until: at(3 * SECOND),
+        until: at(3 * SECOND_US),
     };
     assert_violation(
         vec![
             request_sent(0, 1, "open"),
             stalled,
-            request_answered(3 * SECOND, 1, 504, 1),
+            request_answered(3 * SECOND_US, 1, 504, 1),
         ],
         None,
     );
@@ -198,25 +198,25 @@
     ] {
         let again = vec![
             set_up(0, 1, 0, "paid"),
-            set_up_finished(SECOND, 1, 0, outcome),
-            set_up(2 * SECOND, 1, 1, "paid"),
+            set_up_finished(SECOND_US, 1, 0, outcome),
+            set_up(2 * SECOND_US, 1, 1, "paid"),
         ];
         assert_violation(again, Some(Rule::NoDuplicateSetUp));
     }
     let proven = vec![
         set_up(0, 1, 0, "paid"),
-        set_up_finished(SECOND, 1, 0, SetUpOutcome::Rejected),
-        set_up(2 * SECOND, 1, 1, "paid"),
+        set_up_finished(SECOND_US, 1, 0, SetUpOutcome::Rejected),
+        set_up(2 * SECOND_US, 1, 1, "paid"),
     ];
     assert_violation(proven, None);
     let harmless = vec![
         set_up(0, 1, 0, "open"),
-        set_up_finished(SECOND, 1, 0, SetUpOutcome::Abandoned),
-        set_up(2 * SECOND, 1, 1, "open"),
+        set_up_finished(SECOND_US, 1, 0, SetUpOutcome::Abandoned),
+        set_up(2 * SECOND_US, 1, 1, "open"),
     ];
     assert_violation(harmless, None);
     assert_violation(
-        vec![set_up(0, 1, 0, "open"), set_up(SECOND, 1, 1, "open")],
+        vec![set_up(0, 1, 0, "open"), set_up(SECOND_US, 1, 1, "open")],
         Some(Rule::NoDuplicateSetUp),
     );
     let part = Record::PartialRequest {
@@ -227,17 +227,17 @@
         attempt: Some(0),
     };
     assert_violation(
-        vec![part.clone(), set_up(SECOND, 1, 1, "paid")],
+        vec![part.clone(), set_up(SECOND_US, 1, 1, "paid")],
         Some(Rule::NoDuplicateSetUp),
     );
-    assert_violation(vec![part, set_up(SECOND, 1, 1, "open")], None);
+    assert_violation(vec![part, set_up(SECOND_US, 1, 1, "open")], None);
     // A rejection states that the set-up was not executed.
     let rejected = |outcome| {
         vec![
             request_sent(0, 1, "paid"),
-            set_up(SECOND / 2, 7, 0, "paid"),
-            set_up_finished(SECOND, 7, 0, outcome),
-            request_answered(SECOND, 1, 503, 7),
+            set_up(SECOND_US / 2, 7, 0, "paid"),
+            set_up_finished(SECOND_US, 7, 0, outcome),
+            request_answered(SECOND_US, 1, 503, 7),
         ]
     };
     assert_violation(rejected(SetUpOutcome::Rejected), None);
@@ -249,41 +249,41 @@
 
 #[test]
 fn nothing_new_is_sent_to_draining_nodes() {
-    let within = SECOND / 4 + SECOND / 20;
+    let within = SECOND_US / 4 + SECOND_US / 20;
     assert_violation(
         vec![
-            notified(SECOND, "draining", None),
-            set_up(SECOND + within, 1, 0, "open"),
+            notified(SECOND_US, "draining", None),
+            set_up(SECOND_US + within, 1, 0, "open"),
         ],
         None,
     );
     assert_violation(
         vec![
-            notified(SECOND, "draining", None),
-            set_up(SECOND + within + 1, 1, 0, "open"),
+            notified(SECOND_US, "draining", None),
+            set_up(SECOND_US + within + 1, 1, 0, "open"),
         ],
         Some(Rule::Draining),
     );
     assert_violation(
         vec![
-            notified(SECOND, "gone", None),
-            set_up(3 * SECOND, 1, 0, "open"),
+            notified(SECOND_US, "gone", None),
+            set_up(3 * SECOND_US, 1, 0, "open"),
         ],
         Some(Rule::Draining),
     );
     assert_violation(
         vec![
-            notified(SECOND, "gone", None),
-            notified(2 * SECOND, "ready", None),
-            set_up(3 * SECOND, 1, 0, "open"),
+            notified(SECOND_US, "gone", None),
+            notified(2 * SECOND_US, "ready", None),
+            set_up(3 * SECOND_US, 1, 0, "open"),
         ],
         None,
     );
     // A repeated notification of the same drain does not restart the grace period.
     let twice = vec![
-        notified(SECOND, "draining", None),
-        notified(2 * SECOND, "draining", None),
-        set_up(2 * SECOND, 1, 0, "open"),
+        notified(SECOND_US, "draining", None),
+        notified(2 * SECOND_US, "draining", None),
+        set_up(2 * SECOND_US, 1, 0, "open"),
     ];
     assert_violation(twice, Some(Rule::Draining));
 }
@@ -324,7 +324,7 @@
     }
     assert_violation(vec![low], Some(Rule::FloorsAndSeats));
     let step = Record::RungChanged {
-        time: at(SECOND),
+        time: at(SECOND_US),
         node: 1,
         session: 1,
         rung: 0,
@@ -362,7 +362,7 @@
     let with_retries = |n: u64| {
         let mut records = vec![request_sent(0, 1, "open"), request_sent(1, 2, "open")];
         for i in 0..n {
-            let t = SECOND + 10 * i as i64;
+            let t = SECOND_US + 10 * i as i64;
             records.extend([
                 set_up(t, i, 0, "open"),
                 set_up_finished(t + 1, i, 0, SetUpOutcome::Abandoned),
@@ -370,8 +370,8 @@
             ]);
         }
         records.extend([
-            request_answered(SECOND, 1, 201, 0),
-            request_answered(SECOND, 2, 201, 1),
+            request_answered(SECOND_US, 1, 201, 0),
+            request_answered(SECOND_US, 2, 201, 1),
         ]);
         records
     };
--- a/crates/test-harness/src/day.rs
+++ b/crates/test-harness/src/day.rs
@@ -1,8 +1,8 @@
-//! A day: directors, nodes, journal service and viewers, and what happens to them when.
+//! A scripted day: directors, nodes, journal service and viewers, with events at given times.
 
 use crate::director::Director;
 use crate::faulty_director::{DirectorFault, FaultyDirector};
-use crate::journal::{Journal, Line};
+use crate::journal::{HostEntry, Journal};
 use crate::node::{Node, NodeBehavior};
 use crate::now;
 use crate::recorder::{Recorder, rules};
@@ -16,55 +16,60 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// After the last request answers, ends and releases come for so long.
-const SETTLE: Duration = Duration::from_millis(2_500);
-/// A director told to end goes by itself within this: the longest wait, and what the program adds.
-const LEAVES: Duration = Duration::from_secs(4);
+/// Time after the last request for responses, session ends and releases to arrive.
+const SETTLE_TIME: Duration = Duration::from_millis(2_500);
+/// Time within which a director exits after SIGTERM: the longest request timeout, plus the program's own delay.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Something that happens.
+/// An event of a day. Nodes and directors are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DayEvent {
-    /// A node drains, or is gone from the list; its process goes on.
+    /// Lists a node as draining; its process keeps running.
     DrainNode(usize),
+    /// Lists a node as gone; its process keeps running.
     RemoveNode(usize),
-    /// A node's process dies, and starts again: the list tells of it.
+    /// Kills a node's process without a change of the list.
     KillNode(usize),
+    /// Starts a node's process again, and publishes its start time in the list.
     RestartNode(usize),
     SetNodeBehavior(usize, NodeBehavior),
-    /// A director is killed, told to end, started.
+    /// Sends SIGKILL to a director.
     KillDirector(usize),
+    /// Sends SIGTERM to a director.
     StopDirector(usize),
     StartDirector(usize),
-    /// The journal service breaks off, and is back.
+    /// Starts or ends an outage of the journal service, in which it closes all connections.
     SetJournalOutage(bool),
-    /// Its open connections fall silent and stay open.
+    /// Silences the open connections of the journal service without closing them.
     SilenceJournal,
-    /// Clients that send what is no message, to every director.
+    /// Sends malformed messages to every director.
     SendMalformedRequests,
-    /// A wrong director's node from now on.
+    /// Sets the node to which a faulty director sends everything.
     SetPreferredNode(usize),
 }
 
-/// A day's plan. Troubles in order of time, in milliseconds.
+/// Plan of a day.
 pub struct Plan {
     pub directors: u32,
     pub nodes: u32,
     pub seconds: u64,
     pub seed: u64,
     pub fault: Option<DirectorFault>,
+    /// Events in order of time, each with its time in milliseconds from the start of the day.
     pub events: Vec<(u64, DayEvent)>,
 }
 
-/// What came of it.
+/// Result of a day.
 pub struct Outcome {
     pub verdict: Verdict,
+    /// Violations of requirements beyond the rules of the verdict.
     pub violations: Vec<String>,
-    /// When it began, on the clock of the records.
+    /// Start of the day on the clock of the records, in microseconds.
     pub started_at: i64,
     pub requests: u64,
-    /// Directors that were not there at the end, or did not go when told.
+    /// Directors that were not running at the end, or did not exit in time after SIGTERM.
     pub failed_directors: Vec<u32>,
-    /// What the directors logged.
+    /// Logs of the directors.
     pub logs: String,
 }
 
@@ -72,7 +77,7 @@
     recorder: Recorder,
     journal: Journal,
     nodes: Vec<Arc<Node>>,
-    list: Vec<Line>,
+    hosts: Vec<HostEntry>,
     directors: Vec<Director>,
     viewers: Vec<Viewers>,
     faulty_director: Option<Arc<FaultyDirector>>,
@@ -80,22 +85,22 @@
 }
 
 impl World {
-    fn begin(binary: &Path, dir: &Path, plan: &Plan) -> io::Result<World> {
+    fn start(binary: &Path, dir: &Path, plan: &Plan) -> io::Result<World> {
         let recorder = Recorder::default();
         let journal = Journal::start(recorder.clone(), plan.directors)?;
         let nodes = (1..=plan.nodes).map(|id| Node::start(id, plan.seed, recorder.clone()));
         let nodes = nodes.collect::<io::Result<Vec<_>>>()?;
         let ports: Vec<u16> = nodes.iter().map(|n| n.port).collect();
         let faulty_director = plan.fault.map(|fault| FaultyDirector::new(fault, ports));
-        let to_nodes = faulty_director
+        let node_relay = faulty_director
             .as_ref()
-            .filter(|_| plan.fault.is_some_and(|l| !l.to_viewers()));
-        let mut list = Vec::new();
+            .filter(|_| plan.fault.is_some_and(|l| !l.affects_viewers()));
+        let mut hosts = Vec::new();
         for node in &nodes {
-            let port = to_nodes.map_or(Ok(node.port), |faulty_director| {
-                faulty_director.before(node.port)
+            let port = node_relay.map_or(Ok(node.port), |faulty_director| {
+                faulty_director.start_relay(node.port)
             })?;
-            list.push(Line {
+            hosts.push(HostEntry {
                 node: node.id,
                 port,
                 state: 0,
@@ -103,17 +108,20 @@
                 started: 0,
             });
         }
-        let listens = match faulty_director.as_ref().filter(|l| l.ignores_silence()) {
-            Some(faulty_director) => faulty_director.before_list(journal.port)?,
+        let journal_port = match faulty_director
+            .as_ref()
+            .filter(|l| l.ignores_silent_journal())
+        {
+            Some(faulty_director) => faulty_director.start_list_relay(journal.port)?,
             None => journal.port,
         };
         let (mut directors, mut viewers) = (Vec::new(), Vec::new());
         for number in 0..plan.directors {
             let mut director = Director::new(binary, dir, number, recorder.clone())?;
-            director.start(listens, &list, plan.directors)?;
-            let to_viewers = faulty_director.as_ref().filter(|_| to_nodes.is_none());
-            let port = to_viewers.map_or(Ok(director.port), |faulty_director| {
-                faulty_director.before(director.port)
+            director.start(journal_port, &hosts, plan.directors)?;
+            let viewer_relay = faulty_director.as_ref().filter(|_| node_relay.is_none());
+            let port = viewer_relay.map_or(Ok(director.port), |faulty_director| {
+                faulty_director.start_relay(director.port)
             })?;
             viewers.push(Viewers::start(number, port, plan.seed, recorder.clone()));
             directors.push(director);
@@ -122,7 +130,7 @@
             recorder,
             journal,
             nodes,
-            list,
+            hosts,
             directors,
             viewers,
             faulty_director,
@@ -132,29 +140,29 @@
 
     fn apply(&mut self, event: DayEvent) -> io::Result<()> {
         match event {
-            DayEvent::DrainNode(n) => self.journal.tell(
-                Line {
+            DayEvent::DrainNode(n) => self.journal.publish(
+                HostEntry {
                     state: 1,
-                    ..self.list[n]
+                    ..self.hosts[n]
                 },
                 None,
             ),
-            DayEvent::RemoveNode(n) => self.journal.tell(
-                Line {
+            DayEvent::RemoveNode(n) => self.journal.publish(
+                HostEntry {
                     state: 2,
-                    ..self.list[n]
+                    ..self.hosts[n]
                 },
                 None,
             ),
-            DayEvent::KillNode(n) => self.nodes[n].die(),
+            DayEvent::KillNode(n) => self.nodes[n].stop_process(),
             DayEvent::RestartNode(n) => {
-                let up = self.nodes[n].live(false)?;
-                self.journal.tell(
-                    Line {
-                        started: up as u64 / 1000,
-                        ..self.list[n]
+                let started_at = self.nodes[n].start_process(false)?;
+                self.journal.publish(
+                    HostEntry {
+                        started: started_at as u64 / 1000,
+                        ..self.hosts[n]
                     },
-                    Some(up),
+                    Some(started_at),
                 );
             }
             DayEvent::SetNodeBehavior(n, behavior) => self.nodes[n].set_behavior(behavior),
@@ -166,28 +174,28 @@
                 if self
                     .faulty_director
                     .as_ref()
-                    .is_some_and(|l| l.ends_at_once()) =>
+                    .is_some_and(|l| l.exits_immediately()) =>
             {
                 self.directors[d].crash()
             }
             DayEvent::StopDirector(d) => {
-                // The front has taken it out: its viewers ask it no more.
+                // A director that shuts down is out of rotation, so its viewers send no more requests.
                 self.viewers[d].paused.store(true, Ordering::Relaxed);
                 thread::sleep(Duration::from_millis(200));
-                if !self.directors[d].leave(LEAVES) {
+                if !self.directors[d].stop_gracefully(SHUTDOWN_TIMEOUT) {
                     self.failed_directors.push(d as u32);
                 }
             }
             DayEvent::StartDirector(d) => {
                 let directors = self.directors.len() as u32;
-                self.directors[d].start(self.journal.port, &self.list, directors)?;
+                self.directors[d].start(self.journal.port, &self.hosts, directors)?;
                 self.viewers[d].paused.store(false, Ordering::Relaxed);
             }
-            DayEvent::SilenceJournal => self.journal.hush(),
-            DayEvent::SetJournalOutage(away) => self.journal.away(away),
+            DayEvent::SilenceJournal => self.journal.silence(),
+            DayEvent::SetJournalOutage(is_down) => self.journal.set_outage(is_down),
             DayEvent::SendMalformedRequests => {
                 for director in &self.directors {
-                    for noise in [
+                    for bytes in [
                         &b"{\"verb\":\"START\",\"tag\":\n"[..],
                         &[b'x'; 40_000],
                         b"{\"verb\":\"ST",
@@ -196,7 +204,7 @@
                         else {
                             continue;
                         };
-                        let _ = stream.write_all(noise);
+                        let _ = stream.write_all(bytes);
                     }
                 }
             }
@@ -210,11 +218,11 @@
     }
 }
 
-/// Plays a day with processes of the program in `binary`; their files and logs go to `dir`.
+/// Runs a day with processes of the program `binary`. Their settings and logs are written to `dir`.
 pub fn play(binary: &Path, dir: &Path, plan: &Plan) -> io::Result<Outcome> {
-    let mut world = World::begin(binary, dir, plan)?;
+    let mut world = World::start(binary, dir, plan)?;
     let started_at = Instant::now();
-    world.recorder.open().started_at = now();
+    world.recorder.lock().started_at = now();
     for (at, event) in &plan.events {
         thread::sleep(Duration::from_millis(*at).saturating_sub(started_at.elapsed()));
         world.apply(*event)?;
@@ -224,27 +232,27 @@
         .viewers
         .iter()
         .for_each(|v| v.paused.store(true, Ordering::Relaxed));
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
     let mut failed_directors = world.failed_directors.clone();
     for director in &mut world.directors {
-        if !director.runs() {
+        if !director.is_running() {
             failed_directors.push(director.number);
         }
     }
-    // Judged before they end: who is told to end at the same time is no part of the day.
-    let (verdict, violations) = world.recorder.judged(&rules());
+    // Audited before the directors are killed, because the shutdown of all at once is not part of the day.
+    let (verdict, violations) = world.recorder.audit(&rules());
     let requests = world
         .viewers
         .iter()
         .map(|v| v.request_count.load(Ordering::Relaxed))
         .sum();
     world.directors.iter_mut().for_each(Director::kill);
-    world.viewers.iter_mut().for_each(Viewers::end);
+    world.viewers.iter_mut().for_each(Viewers::stop);
     let logs = world
         .directors
         .iter()
-        .map(|d| std::fs::read_to_string(d.log()).unwrap_or_default());
-    let started_at = world.recorder.open().started_at;
+        .map(|d| std::fs::read_to_string(d.log_path()).unwrap_or_default());
+    let started_at = world.recorder.lock().started_at;
     Ok(Outcome {
         verdict,
         violations,
--- a/crates/test-harness/src/director.rs
+++ b/crates/test-harness/src/director.rs
@@ -1,6 +1,6 @@
-//! One process of `shalewall direct`: started, signalled, killed, started again.
+//! A process of `shalewall direct` that can be started, signalled, killed and restarted.
 
-use crate::journal::Line;
+use crate::journal::HostEntry;
 use crate::recorder::Recorder;
 use crate::{free_port, now};
 use serde_json::{Value, json};
@@ -13,10 +13,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A director listens within this of its start, or never.
-const UP: Duration = Duration::from_secs(10);
+/// Time within which a director has to listen after its start.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The platform's settings object, with the figures of [`crate::recorder::rules`].
+/// The platform's settings object, with the same parameters as [`crate::recorder::rules`].
 pub fn settings(number: u32, directors: u32) -> Value {
     json!({ "Balancers": directors, "MyNumber": number, "Categories": [
         { "Name": "paid", "Effect": "at_most_once", "Target": 500.0, "GiveUp": 1200.0, "Value": 2.0 },
@@ -41,7 +41,7 @@
     dir: PathBuf,
     recorder: Recorder,
     child: Option<Child>,
-    gone: Option<i64>,
+    stopped_at: Option<i64>,
 }
 
 impl Director {
@@ -54,13 +54,13 @@
             dir,
             recorder,
             child: None,
-            gone: None,
+            stopped_at: None,
         })
     }
 
-    /// Starts the process, and waits until it listens.
-    pub fn start(&mut self, journal: u16, list: &[Line], directors: u32) -> io::Result<()> {
-        let members: Vec<Value> = list.iter().map(Line::json).collect();
+    /// Starts the process and waits until it listens.
+    pub fn start(&mut self, journal: u16, hosts: &[HostEntry], directors: u32) -> io::Result<()> {
+        let members: Vec<Value> = hosts.iter().map(HostEntry::json).collect();
         let config = json!({ "name": format!("n{}", self.number), "listen": format!("127.0.0.1:{}", self.port),
             "seed": format!("{:016x}", 0x8c1f_30d2_7a5b_e964_u64 ^ u64::from(self.number)),
             "limits": { "sockets": 256 }, "journal": format!("127.0.0.1:{journal}"),
@@ -69,7 +69,10 @@
             "settings": settings(self.number, directors) });
         let file = self.dir.join(format!("n{}.json", self.number));
         std::fs::write(&file, config.to_string())?;
-        let log = File::options().create(true).append(true).open(self.log())?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.log_path())?;
         let child = Command::new(&self.binary)
             .arg("direct")
             .env("ROUTER_CONFIG", file)
@@ -78,9 +81,9 @@
             .stderr(log)
             .spawn()?;
         self.child = Some(child);
-        let begun = Instant::now();
+        let started = Instant::now();
         while TcpStream::connect(("127.0.0.1", self.port)).is_err() {
-            if begun.elapsed() > UP {
+            if started.elapsed() > START_TIMEOUT {
                 return Err(io::Error::other(format!(
                     "director {} does not listen",
                     self.number
@@ -89,33 +92,33 @@
             thread::sleep(Duration::from_millis(10));
         }
         let t = now();
-        if let Some(from) = self.gone.take() {
+        if let Some(from) = self.stopped_at.take() {
             self.recorder
-                .open()
-                .down
+                .lock()
+                .downtimes
                 .entry(self.number)
                 .or_default()
                 .push((from, t));
         }
-        self.recorder.note(Record::DirectorStarted {
+        self.recorder.record(Record::DirectorStarted {
             time: Timestamp::from_micros(t),
             director: self.number,
         });
         Ok(())
     }
 
-    pub fn log(&self) -> PathBuf {
+    pub fn log_path(&self) -> PathBuf {
         self.dir.join(format!("n{}.log", self.number))
     }
 
-    /// SIGKILL, without a word before it.
+    /// Kills the process with SIGKILL, and records it.
     pub fn kill(&mut self) {
         let Some(mut child) = self.child.take() else {
             return;
         };
         let t = now();
-        self.gone = Some(t);
-        self.recorder.note(Record::DirectorKilled {
+        self.stopped_at = Some(t);
+        self.recorder.record(Record::DirectorKilled {
             time: Timestamp::from_micros(t),
             director: self.number,
         });
@@ -123,7 +126,7 @@
         let _ = child.wait();
     }
 
-    /// What one would do that ends at once when it is told to: whoever judges knows of no kill.
+    /// Kills the process without a record, so that the audit sees a director that exits with requests in flight.
     pub fn crash(&mut self) {
         let Some(mut child) = self.child.take() else {
             return;
@@ -132,16 +135,16 @@
         let _ = child.wait();
     }
 
-    /// SIGTERM; true where it ended by itself within `patience`.
-    pub fn leave(&mut self, patience: Duration) -> bool {
+    /// Sends SIGTERM. Returns whether the process exited successfully within `timeout`.
+    pub fn stop_gracefully(&mut self, timeout: Duration) -> bool {
         let Some(mut child) = self.child.take() else {
             return true;
         };
-        self.gone = Some(now());
+        self.stopped_at = Some(now());
         let pid = rustix::process::Pid::from_child(&child);
         let _ = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
-        let begun = Instant::now();
-        while begun.elapsed() < patience {
+        let started = Instant::now();
+        while started.elapsed() < timeout {
             if let Ok(Some(status)) = child.try_wait() {
                 return status.success();
             }
@@ -152,8 +155,8 @@
         false
     }
 
-    /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process is running.
+    pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|c| matches!(c.try_wait(), Ok(None)))
--- a/crates/test-harness/src/faulty_director.rs
+++ b/crates/test-harness/src/faulty_director.rs
@@ -1,5 +1,5 @@
-//! Directors that are wrong on purpose: relays that lie in a director's name, between it and its viewers or its
-//! nodes. What the stand-ins see on their sockets is what a director with that fault would do.
+//! Fault injection for directors: relays between a director and its viewers or nodes that alter the messages, so that
+//! the other side sees the behavior of a faulty director.
 
 use crate::rtsp::{self, Message};
 use serde_json::Value;
@@ -10,38 +10,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// What is wrong.
+/// Fault of a director.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectorFault {
-    /// Every fifth answer is never said.
+    /// Drops every fifth response.
     DropsAnswers,
-    /// Every fifth answer is said twice.
+    /// Sends every fifth response twice.
     DuplicatesAnswers,
-    /// Serves with a description that no node made.
+    /// Responds with a session description that no node created.
     FabricatesAnswers,
-    /// Never says that a session has come to its end.
+    /// Drops the notifications that a session has ended.
     DropsReleases,
-    /// Sets paid sessions up at two nodes.
+    /// Sets up paid sessions at two nodes.
     DuplicatesPaidSetUps,
-    /// Plays paid sessions below their floor.
+    /// Plays paid sessions below the floor of their class.
     IgnoresRungFloor,
-    /// Goes on sending to a node that drains.
+    /// Keeps sending to a node that is draining.
     IgnoresDraining,
     /// Sends everything to a node that has just started.
     OverloadsColdNode,
-    /// Gives every harmless set-up up once and sends it again.
+    /// Abandons and repeats every idempotent set-up once.
     WastesAttempts,
-    /// Holds requests back, and sends them on whoever has left meanwhile.
+    /// Delays requests, and forwards those that were cancelled meanwhile.
     ForwardsCancelledRequests,
-    /// Ends as soon as it is told to.
+    /// Exits on SIGTERM without completing its requests.
     ExitsImmediately,
-    /// Takes a list service that says nothing for one that has nothing to say.
+    /// Treats a silent journal service as one without changes.
     IgnoresSilentJournal,
 }
 
 impl DirectorFault {
-    /// Told to viewers; the others are told to nodes.
-    pub fn to_viewers(self) -> bool {
+    /// Whether the fault alters messages to viewers; otherwise it alters messages to nodes.
+    pub fn affects_viewers(self) -> bool {
         matches!(
             self,
             DirectorFault::DropsAnswers
@@ -55,18 +55,18 @@
     }
 }
 
-/// Longer than a request may be sent on after its viewer has left.
-const HELD: Duration = Duration::from_millis(550);
+/// Delay of requests, above the limit for forwarding a request after its cancellation.
+const REQUEST_DELAY: Duration = Duration::from_millis(550);
 
-/// No node is favoured.
-pub const NOBODY: usize = usize::MAX;
+/// Value of [`FaultyDirector::preferred_node`] for no preference.
+pub const NO_PREFERRED_NODE: usize = usize::MAX;
 
-/// What the relays of one day have in common.
+/// State that the relays of a day share.
 pub struct FaultyDirector {
     fault: DirectorFault,
-    /// The nodes' own ports.
+    /// Ports of the nodes.
     nodes: Vec<u16>,
-    /// The node that everything is to go to.
+    /// Index of the node to which all set-ups are sent.
     pub preferred_node: AtomicUsize,
     count: AtomicU64,
 }
@@ -83,15 +83,19 @@
         .write_all(bytes)
 }
 
-/// Carries bytes one way, as `said` words them, until either side ends.
-fn carry(mut from: TcpStream, to: &Stream, mut said: impl FnMut(&mut Vec<u8>) -> Vec<u8>) {
-    let (mut buf, mut chunk) = (Vec::new(), [0; 4096]);
+/// Relays bytes in one direction until either side closes. `transform` takes the bytes to send from its buffer.
+fn relay_bytes(
+    mut from: TcpStream,
+    to: &Stream,
+    mut transform: impl FnMut(&mut Vec<u8>) -> Vec<u8>,
+) {
+    let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
     while let Ok(n) = from.read(&mut chunk) {
         if n == 0 {
             break;
         }
-        buf.extend(&chunk[..n]);
-        if write(to, &said(&mut buf)).is_err() {
+        buffer.extend(&chunk[..n]);
+        if write(to, &transform(&mut buffer)).is_err() {
             break;
         }
     }
@@ -102,44 +106,44 @@
     let _ = from.shutdown(Shutdown::Both);
 }
 
-/// Carries the list's frames whole, and a word of nothing new under the last number where none comes.
-fn calm(near: TcpStream, port: u16) -> io::Result<()> {
-    let mut far = TcpStream::connect(("127.0.0.1", port))?;
-    let mut asked = [0; 8];
-    let to = shared(&near)?;
-    { &near }.read_exact(&mut asked)?;
-    far.write_all(&asked)?;
-    far.set_read_timeout(Some(Duration::from_secs(1)))?;
-    let (mut buf, mut chunk) = (Vec::new(), [0; 4096]);
+/// Relays complete frames of the journal, and sends a heartbeat with the last position when none arrives for a second.
+fn relay_list_with_heartbeats(client: TcpStream, port: u16) -> io::Result<()> {
+    let mut server = TcpStream::connect(("127.0.0.1", port))?;
+    let mut position = [0; 8];
+    let to = shared(&client)?;
+    { &client }.read_exact(&mut position)?;
+    server.write_all(&position)?;
+    server.set_read_timeout(Some(Duration::from_secs(1)))?;
+    let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        match far.read(&mut chunk) {
-            Ok(0) => return near.shutdown(Shutdown::Both),
-            Ok(n) => buf.extend(&chunk[..n]),
-            Err(_) => write(&to, &[&[0, 0, 0, 9][..], &asked, &[0]].concat())?,
+        match server.read(&mut chunk) {
+            Ok(0) => return client.shutdown(Shutdown::Both),
+            Ok(n) => buffer.extend(&chunk[..n]),
+            Err(_) => write(&to, &[&[0, 0, 0, 9][..], &position, &[0]].concat())?,
         }
-        while let Some(length) = buf
+        while let Some(length) = buffer
             .get(..4)
             .map(|l| 4 + l.iter().fold(0, |n, b| n << 8 | usize::from(*b)))
         {
-            if buf.len() < length {
+            if buffer.len() < length {
                 break;
             }
-            asked.copy_from_slice(&buf[4..12]);
-            write(&to, &buf.drain(..length).collect::<Vec<_>>())?;
+            position.copy_from_slice(&buffer[4..12]);
+            write(&to, &buffer.drain(..length).collect::<Vec<_>>())?;
         }
     }
 }
 
-/// Requests later, and no word of those that are given up.
-fn held_back(buf: &mut Vec<u8>) -> Vec<u8> {
-    thread::sleep(HELD);
-    let lines = std::mem::take(buf);
-    let given_up = |line: &&[u8]| {
+/// Delays requests, and drops cancellations.
+fn delay_requests(buffer: &mut Vec<u8>) -> Vec<u8> {
+    thread::sleep(REQUEST_DELAY);
+    let lines = std::mem::take(buffer);
+    let is_forwarded = |line: &&[u8]| {
         !(line.windows(8).any(|w| w == b"\"FINISH\"") && line.windows(7).any(|w| w == b"\"rc\":16"))
     };
     lines
         .split_inclusive(|b| *b == b'\n')
-        .filter(given_up)
+        .filter(is_forwarded)
         .flatten()
         .copied()
         .collect()
@@ -150,74 +154,79 @@
         Arc::new(FaultyDirector {
             fault,
             nodes,
-            preferred_node: AtomicUsize::new(NOBODY),
+            preferred_node: AtomicUsize::new(NO_PREFERRED_NODE),
             count: AtomicU64::new(0),
         })
     }
 
-    pub fn ignores_silence(&self) -> bool {
+    pub fn ignores_silent_journal(&self) -> bool {
         self.fault == DirectorFault::IgnoresSilentJournal
     }
 
-    /// A relay to the list service that says each second that there is nothing new, whether the service does or not.
-    pub fn before_list(self: &Arc<FaultyDirector>, port: u16) -> io::Result<u16> {
+    /// Starts a relay to the journal service that sends a heartbeat each second, even if the service is silent. Returns
+    /// the relay's port.
+    pub fn start_list_relay(self: &Arc<FaultyDirector>, port: u16) -> io::Result<u16> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let own = listener.local_addr()?.port();
+        let relay_port = listener.local_addr()?.port();
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                thread::spawn(move || calm(near, port));
+            for client in listener.incoming().flatten() {
+                thread::spawn(move || relay_list_with_heartbeats(client, port));
             }
         });
-        Ok(own)
+        Ok(relay_port)
     }
 
-    pub fn ends_at_once(&self) -> bool {
+    pub fn exits_immediately(&self) -> bool {
         self.fault == DirectorFault::ExitsImmediately
     }
 
-    /// A relay to a port; its own port.
-    pub fn before(self: &Arc<FaultyDirector>, port: u16) -> io::Result<u16> {
+    /// Starts a relay to a port. Returns the relay's port.
+    pub fn start_relay(self: &Arc<FaultyDirector>, port: u16) -> io::Result<u16> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let own = listener.local_addr()?.port();
+        let relay_port = listener.local_addr()?.port();
         let faulty_director = self.clone();
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
+            for client in listener.incoming().flatten() {
                 let faulty_director = faulty_director.clone();
-                thread::spawn(move || faulty_director.relay(near, port));
+                thread::spawn(move || faulty_director.relay(client, port));
             }
         });
-        Ok(own)
+        Ok(relay_port)
     }
 
-    fn relay(self: Arc<FaultyDirector>, near: TcpStream, port: u16) -> io::Result<()> {
-        let Ok(far) = TcpStream::connect(("127.0.0.1", port)) else {
-            return near.shutdown(Shutdown::Both);
+    fn relay(self: Arc<FaultyDirector>, client: TcpStream, port: u16) -> io::Result<()> {
+        let Ok(server) = TcpStream::connect(("127.0.0.1", port)) else {
+            return client.shutdown(Shutdown::Both);
         };
-        let (to_near, to_far) = (shared(&near)?, shared(&far)?);
-        let back = self.clone();
-        let answers = to_near.clone();
-        if self.fault.to_viewers() {
-            thread::spawn(move || carry(far, &answers, |buf| back.lines(buf)));
-            let holds = self.fault == DirectorFault::ForwardsCancelledRequests;
-            carry(near, &to_far, |buf| {
-                if holds {
-                    held_back(buf)
+        let (to_client, to_server) = (shared(&client)?, shared(&server)?);
+        let relay = self.clone();
+        let response_stream = to_client.clone();
+        if self.fault.affects_viewers() {
+            thread::spawn(move || {
+                relay_bytes(server, &response_stream, |buffer| {
+                    relay.viewer_lines(buffer)
+                })
+            });
+            let delays_requests = self.fault == DirectorFault::ForwardsCancelledRequests;
+            relay_bytes(client, &to_server, |buffer| {
+                if delays_requests {
+                    delay_requests(buffer)
                 } else {
-                    std::mem::take(buf)
+                    std::mem::take(buffer)
                 }
             });
             return Ok(());
         }
-        thread::spawn(move || carry(far, &answers, std::mem::take));
-        let mut others: Vec<(u16, Stream)> = Vec::new();
-        carry(near, &to_far, |buf| {
+        thread::spawn(move || relay_bytes(server, &response_stream, std::mem::take));
+        let mut other_connections: Vec<(u16, Stream)> = Vec::new();
+        relay_bytes(client, &to_server, |buffer| {
             let mut out = Vec::new();
-            while let Some(message) = rtsp::take(buf) {
-                out.extend(self.message(message, &to_near, &mut others));
+            while let Some(message) = rtsp::parse_message(buffer) {
+                out.extend(self.node_messages(message, &to_client, &mut other_connections));
             }
             out
         });
-        for (_, other) in others {
+        for (_, other) in other_connections {
             let _ = other
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
@@ -226,102 +235,104 @@
         Ok(())
     }
 
-    /// Lines on their way to a viewer.
-    fn lines(&self, buf: &mut Vec<u8>) -> Vec<u8> {
+    /// Alters lines that are sent to a viewer.
+    fn viewer_lines(&self, buffer: &mut Vec<u8>) -> Vec<u8> {
         let mut out = Vec::new();
-        while let Some(end) = buf.iter().position(|b| *b == b'\n') {
-            let line: Vec<u8> = buf.drain(..=end).collect();
-            let Ok(mut said) = serde_json::from_slice::<Value>(&line) else {
+        while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
+            let line: Vec<u8> = buffer.drain(..=end).collect();
+            let Ok(mut message) = serde_json::from_slice::<Value>(&line) else {
                 continue;
             };
-            let answers = said["verb"] == "STARTED";
-            let fifth = answers && self.count.fetch_add(1, Ordering::Relaxed) % 5 == 4;
+            let is_response = message["verb"] == "STARTED";
+            let is_fifth = is_response && self.count.fetch_add(1, Ordering::Relaxed) % 5 == 4;
             match self.fault {
-                DirectorFault::DropsAnswers if fifth => {}
-                DirectorFault::DuplicatesAnswers if fifth => {
+                DirectorFault::DropsAnswers if is_fifth => {}
+                DirectorFault::DuplicatesAnswers if is_fifth => {
                     out.extend([&line[..], &line[..]].concat())
                 }
-                DirectorFault::FabricatesAnswers if answers => {
-                    said["blob"] = "s-00000009-made up\r\n".into();
-                    out.extend(format!("{said}\n").into_bytes());
+                DirectorFault::FabricatesAnswers if is_response => {
+                    message["blob"] = "s-00000009-made up\r\n".into();
+                    out.extend(format!("{message}\n").into_bytes());
                 }
-                DirectorFault::DropsReleases if said["verb"] == "FINISH" && said["rc"] == 16 => {}
+                DirectorFault::DropsReleases
+                    if message["verb"] == "FINISH" && message["rc"] == 16 => {}
                 _ => out.extend(line),
             }
         }
         out
     }
 
-    /// A message on its way to a node: what goes there instead.
-    fn message(
+    /// Alters a message that is sent to a node. Returns the bytes to send instead.
+    fn node_messages(
         &self,
         mut message: Message,
-        near: &Stream,
-        others: &mut Vec<(u16, Stream)>,
+        client: &Stream,
+        other_connections: &mut Vec<(u16, Stream)>,
     ) -> Vec<u8> {
         if message.method() != "SETUP" {
-            return message.write();
+            return message.encode();
         }
-        let paid = message.field("p-kind") == Some("paid");
+        let paid = message.header("p-kind") == Some("paid");
         match self.fault {
             DirectorFault::DuplicatesPaidSetUps if paid => {
                 let other = self.nodes
                     [self.count.fetch_add(1, Ordering::Relaxed) as usize % self.nodes.len()];
-                // What that one answers is heard by nobody.
-                if let Some(to) = self.way(other, None, others) {
-                    let _ = write(&to, &message.write());
+                // The response of the second node is discarded.
+                if let Some(to) = self.node_connection(other, None, other_connections) {
+                    let _ = write(&to, &message.encode());
                 }
-                message.write()
+                message.encode()
             }
             DirectorFault::IgnoresRungFloor if paid => {
                 message
-                    .fields
+                    .headers
                     .iter_mut()
                     .filter(|(n, _)| n == "x-rung")
                     .for_each(|(_, v)| *v = "0".into());
-                message.write()
+                message.encode()
             }
             DirectorFault::IgnoresDraining | DirectorFault::OverloadsColdNode => {
                 let preferred_node = self
                     .nodes
                     .get(self.preferred_node.load(Ordering::Relaxed))
                     .copied();
-                let to = preferred_node.and_then(|port| self.way(port, Some(near), others));
+                let to = preferred_node
+                    .and_then(|port| self.node_connection(port, Some(client), other_connections));
                 match to {
                     Some(to) => {
-                        let _ = write(&to, &message.write());
+                        let _ = write(&to, &message.encode());
                         Vec::new()
                     }
-                    None => message.write(),
+                    None => message.encode(),
                 }
             }
             DirectorFault::WastesAttempts if !paid => {
-                let tag = message.field("session").unwrap_or("").to_string();
-                let given_up = format!(
+                let tag = message.header("session").unwrap_or("").to_string();
+                let teardown = format!(
                     "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {tag}\r\nContent-Length: 0\r\n\r\n"
                 );
-                [message.write(), given_up.into_bytes(), message.write()].concat()
+                [message.encode(), teardown.into_bytes(), message.encode()].concat()
             }
-            _ => message.write(),
+            _ => message.encode(),
         }
     }
 
-    /// A connection to another node; `near`: where its answers go.
-    fn way(
+    /// Connection to another node, whose responses are relayed to `client` if there is one.
+    fn node_connection(
         &self,
         port: u16,
-        near: Option<&Stream>,
-        others: &mut Vec<(u16, Stream)>,
+        client: Option<&Stream>,
+        other_connections: &mut Vec<(u16, Stream)>,
     ) -> Option<Stream> {
-        if let Some((_, open)) = others.iter().find(|(p, _)| *p == port) {
+        if let Some((_, open)) = other_connections.iter().find(|(p, _)| *p == port) {
             return Some(open.clone());
         }
         let stream = TcpStream::connect(("127.0.0.1", port)).ok()?;
         let to = shared(&stream).ok()?;
-        if let Some(near) = near.cloned() {
-            thread::spawn(move || carry(stream, &near, std::mem::take));
+        if let Some(client) = client.cloned() {
+            thread::spawn(move || relay_bytes(stream, &client, std::mem::take));
         }
-        others.push((port, to.clone()));
+        other_connections.push((port, to.clone()));
         Some(to)
     }
 }
--- a/crates/test-harness/src/journal.rs
+++ b/crates/test-harness/src/journal.rs
@@ -1,7 +1,7 @@
-//! The journal service: numbered changes to the list of media nodes, in frames.
+//! The journal service, which sends numbered changes of the list of media nodes as frames.
 
 use crate::recorder::Recorder;
-use crate::{name, now};
+use crate::{node_name, now};
 use serde_json::{Value, json};
 use shalewall_audit::{Record, Timestamp};
 use std::io::{self, Read, Write};
@@ -11,26 +11,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Looks for news so often, and says that there is none each second.
-const LOOK: Duration = Duration::from_millis(5);
-const QUIET: Duration = Duration::from_secs(1);
-/// What a service that fell silent would have told counts as told so long after that, in microseconds.
-const NOTICED: i64 = 4_000_000;
+/// Interval at which a connection checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time without changes after which a heartbeat is sent.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time within which a director has to detect a silent service, in microseconds. Changes that a silent connection
+/// withholds count as notified after this time.
+const SILENCE_DETECTION_US: i64 = 4_000_000;
 
-/// One line of the list.
+/// An entry of the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Line {
+pub struct HostEntry {
     pub node: u32,
     pub port: u16,
-    /// 0 ready, 1 draining, 2 gone.
+    /// 0: ready, 1: draining, 2: gone.
     pub state: u8,
     pub cell: u16,
-    /// Unix milliseconds of a late start, or 0.
+    /// Unix time in milliseconds of a start during the day, or 0.
     pub started: u64,
 }
 
-impl Line {
-    fn bytes(&self) -> Vec<u8> {
+impl HostEntry {
+    fn encode(&self) -> Vec<u8> {
         let mut b = self.node.to_be_bytes().to_vec();
         b.extend([127, 0, 0, 1]);
         b.extend(self.port.to_be_bytes());
@@ -43,24 +45,25 @@
 
     pub fn json(&self) -> Value {
         let phase = ["ready", "draining", "gone"][usize::from(self.state.min(2))];
-        json!({ "id": name(self.node), "host_port": format!("127.0.0.1:{}", self.port), "locality": "north",
+        json!({ "id": node_name(self.node), "host_port": format!("127.0.0.1:{}", self.port), "locality": "north",
             "flavor": "small", "cell": self.cell, "phase": phase, "size": 1, "up_since_ms": self.started })
     }
 }
 
 #[derive(Default)]
 struct Inner {
-    /// Changes after the first event, which is in every configuration.
-    changes: Mutex<Vec<Line>>,
-    away: AtomicBool,
-    /// Connections before this one are open and silent, for good; since when.
-    hushed: AtomicU64,
-    since: AtomicI64,
+    /// Changes after the first one, which is part of every director's configuration.
+    changes: Mutex<Vec<HostEntry>>,
+    is_down: AtomicBool,
+    /// Connections with a lower number stay open and silent.
+    first_unsilenced_connection: AtomicU64,
+    /// When connections were last silenced, microseconds.
+    silenced_at: AtomicI64,
     connections: AtomicU64,
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
-/// The service, and its address.
+/// The service.
 pub struct Journal {
     inner: Arc<Inner>,
     pub port: u16,
@@ -73,14 +76,14 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let port = listener.local_addr()?.port();
         let inner = Arc::new(Inner::default());
-        let own = inner.clone();
+        let shared = inner.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if own.over.load(Ordering::Relaxed) {
+                if shared.stopped.load(Ordering::Relaxed) {
                     return;
                 }
-                let own = own.clone();
-                thread::spawn(move || serve(&own, stream));
+                let shared = shared.clone();
+                thread::spawn(move || serve(&shared, stream));
             }
         });
         Ok(Journal {
@@ -91,49 +94,48 @@
         })
     }
 
-    /// A change: told to every director from now on, connected or not.
-    ///
-    /// `came_up`: the start that it tells of, in microseconds.
-    pub fn tell(&self, line: Line, came_up: Option<i64>) {
-        // What silent connections do not tell counts as told in the time in which a director has to notice.
-        let noticed = self.inner.since.load(Ordering::Relaxed) + NOTICED;
-        let t = now().max(noticed);
-        let standing = ["ready", "draining", "gone"][usize::from(line.state.min(2))].to_string();
+    /// Publishes a change, and records it as notified to every director, connected or not. `node_started_us` is the
+    /// start time of the node's process, if the change reports one.
+    pub fn publish(&self, entry: HostEntry, node_started_us: Option<i64>) {
+        // A change on a silent connection counts as notified once the director has to have detected the silence.
+        let detected_at = self.inner.silenced_at.load(Ordering::Relaxed) + SILENCE_DETECTION_US;
+        let t = now().max(detected_at);
+        let standing = ["ready", "draining", "gone"][usize::from(entry.state.min(2))].to_string();
         for director in 0..self.directors {
-            let (node, standing) = (line.node.into(), standing.clone());
-            self.recorder.note(Record::EndpointNotified {
+            let (node, standing) = (entry.node.into(), standing.clone());
+            self.recorder.record(Record::EndpointNotified {
                 time: Timestamp::from_micros(t),
                 director,
                 node,
                 standing,
-                node_started: came_up.map(Timestamp::from_micros),
+                node_started: node_started_us.map(Timestamp::from_micros),
             });
         }
         self.inner
             .changes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(line);
+            .push(entry);
     }
 
-    /// Connections that are open fall silent and stay open; new ones are told all.
-    pub fn hush(&self) {
-        self.inner.since.store(now(), Ordering::Relaxed);
-        self.inner.hushed.store(
+    /// Silences the open connections without closing them. New connections work.
+    pub fn silence(&self) {
+        self.inner.silenced_at.store(now(), Ordering::Relaxed);
+        self.inner.first_unsilenced_connection.store(
             self.inner.connections.load(Ordering::Relaxed),
             Ordering::Relaxed,
         );
     }
 
-    /// Breaks every connection and takes no new one, until it is back.
-    pub fn away(&self, away: bool) {
-        self.inner.away.store(away, Ordering::Relaxed);
+    /// Starts or ends an outage, in which the service closes all connections and accepts none.
+    pub fn set_outage(&self, is_down: bool) {
+        self.inner.is_down.store(is_down, Ordering::Relaxed);
     }
 }
 
 impl Drop for Journal {
     fn drop(&mut self) {
-        self.inner.over.store(true, Ordering::Relaxed);
+        self.inner.stopped.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect(("127.0.0.1", self.port));
     }
 }
@@ -148,34 +150,34 @@
 
 fn serve(inner: &Inner, mut stream: TcpStream) {
     let mut position = [0; 8];
-    if inner.away.load(Ordering::Relaxed) || stream.read_exact(&mut position).is_err() {
+    if inner.is_down.load(Ordering::Relaxed) || stream.read_exact(&mut position).is_err() {
         return;
     }
     let number = inner.connections.fetch_add(1, Ordering::Relaxed);
     let mut at = u64::from_be_bytes(position).max(1);
-    let mut said = Instant::now();
-    while !inner.over.load(Ordering::Relaxed) && !inner.away.load(Ordering::Relaxed) {
-        if number < inner.hushed.load(Ordering::Relaxed) {
-            thread::sleep(LOOK);
+    let mut last_sent = Instant::now();
+    while !inner.stopped.load(Ordering::Relaxed) && !inner.is_down.load(Ordering::Relaxed) {
+        if number < inner.first_unsilenced_connection.load(Ordering::Relaxed) {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let news: Vec<Line> = {
+        let updates: Vec<HostEntry> = {
             let changes = inner.changes.lock().unwrap_or_else(PoisonError::into_inner);
             changes.iter().skip(at as usize - 1).copied().collect()
         };
-        for line in &news {
+        for entry in &updates {
             at += 1;
-            said = Instant::now();
-            if stream.write_all(&frame(at, 2, &line.bytes())).is_err() {
+            last_sent = Instant::now();
+            if stream.write_all(&frame(at, 2, &entry.encode())).is_err() {
                 return;
             }
         }
-        if said.elapsed() >= QUIET {
-            said = Instant::now();
+        if last_sent.elapsed() >= HEARTBEAT_INTERVAL {
+            last_sent = Instant::now();
             if stream.write_all(&frame(at, 0, &[])).is_err() {
                 return;
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,9 +1,10 @@
-//! Several processes of `shalewall direct` among stand-ins of the platform: media nodes, the journal service and
-//! viewers, with kills and cuts between them. What passed on the sockets is taped and judged from the tape alone.
+//! Integration test harness: several processes of `shalewall direct` in an emulated platform of media nodes, journal
+//! service and viewers, with fault injection. Events on the sockets are recorded, and the audit uses this recording
+//! only.
 //!
-//! What this crate may know: the platform's protocol as its pages tell it (`docs/platform.md`), and the auditor's
-//! records. What it must not: the door, the decisions; it meets a director only as a process and over sockets. All
-//! draws come from ChaCha8 with a stated seed; times are the machine's.
+//! The crate depends on the platform's protocol (`docs/platform.md`) and on the audit's records, not on the code of the
+//! director; it meets a director only as a process and over sockets. All random numbers come from ChaCha8 with a given
+//! seed; times are real time.
 
 pub mod day;
 pub mod director;
@@ -17,34 +18,37 @@
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The present time, in microseconds from 1970 on.
+/// Current Unix time in microseconds.
 pub(crate) fn now() -> i64 {
     shalewall_clock::now().as_micros()
 }
 
-const PORTS: u32 = 18_000;
+/// Number of ports from which [`free_port`] chooses.
+const PORT_COUNT: u32 = 18_000;
 
-/// A port of this machine's loopback that is free and stays so: below those that the system gives out by itself, and
-/// handed out once by this process. Tests of several processes begin at different ones.
+/// A free loopback port that stays free: below the ephemeral ports of the system, and returned only once by this
+/// process. Processes start at different ports.
 pub fn free_port() -> std::io::Result<u16> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let first = std::process::id().wrapping_mul(257);
-    for _ in 0..PORTS {
+    for _ in 0..PORT_COUNT {
         let port =
-            12_000 + (first.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORTS) as u16;
+            12_000 + (first.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORT_COUNT) as u16;
         if TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return Ok(port);
         }
     }
-    Err(std::io::Error::other("no port is free"))
+    Err(std::io::Error::other(
+        "no free port in the range of the test harness",
+    ))
 }
 
-/// A node's id as the platform writes it.
-pub fn name(node: u32) -> String {
+/// A node's id in the form of the platform.
+pub fn node_name(node: u32) -> String {
     format!("s-{node:08x}")
 }
 
-/// The director that a request was for: tags carry it.
+/// The director of a request, which is part of the tag.
 pub fn director_of(tag: u64) -> u32 {
     (tag >> 48) as u32
 }
--- a/crates/test-harness/src/node.rs
+++ b/crates/test-harness/src/node.rs
@@ -1,8 +1,8 @@
-//! A media node: takes set-ups, lets sessions stand and end, says its releases, and can be made to fail.
+//! An emulated media node: accepts set-ups, ends sessions after a random time, sends releases, and can inject faults.
 
-use crate::recorder::{End, Recorder};
+use crate::recorder::{Recorder, SessionEnd};
 use crate::rtsp::{self, Message};
-use crate::{name, now};
+use crate::{node_name, now};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalewall_audit::{Record, SetUpOutcome, Timestamp};
@@ -13,56 +13,58 @@
 use std::thread;
 use std::time::Duration;
 
-/// Due work is looked at so often.
-const TICK: Duration = Duration::from_millis(2);
-/// An answer takes up to so long, a session lasts so long, in microseconds.
-const ANSWER: std::ops::Range<i64> = 2_000..30_000;
-const LASTS: std::ops::Range<i64> = 300_000..3_000_000;
-/// Notes on each session come so often.
-const NOTES: i64 = 1_000_000;
-pub const PLACES: f64 = 60.0;
+/// Interval at which due work is performed.
+const TICK_INTERVAL: Duration = Duration::from_millis(2);
+/// Delay of the response to a set-up.
+const RESPONSE_DELAY_US: std::ops::Range<i64> = 2_000..30_000;
+/// Duration of a session, unless it is ended earlier.
+const SESSION_DURATION_US: std::ops::Range<i64> = 300_000..3_000_000;
+/// Interval of load notes on each session.
+const LOAD_NOTE_INTERVAL_US: i64 = 1_000_000;
+/// Number of streams at which a node reports full utilization.
+pub const STREAM_CAPACITY: f64 = 60.0;
 
-/// How a node behaves.
+/// Behavior of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NodeBehavior {
     #[default]
     Healthy,
-    /// Answers every second set-up with an error.
+    /// Responds to every second set-up with an error.
     FailsSetUps,
-    /// Turns everything away.
+    /// Rejects every set-up.
     RejectsAll,
-    /// Hears and says nothing, its connections open.
+    /// Sends nothing, but keeps its connections open.
     Unresponsive,
-    /// Every third answer can't be read.
+    /// Sends a malformed response to every third set-up.
     SendsMalformed,
-    /// Resets every second connection on which a set-up comes.
+    /// Closes the connection of every set-up with an even tag.
     ResetsConnections,
 }
 
-struct EndpointState {
-    conn: u64,
+struct ActiveSession {
+    connection: u64,
     attempt: u32,
-    until: i64,
-    noted: i64,
+    ends_at: i64,
+    last_note: i64,
 }
 
 #[derive(Default)]
 struct Inner {
     behavior: NodeBehavior,
-    /// Set-ups so far, for what happens to every second or third.
+    /// Number of responses to set-ups, for the faults of every second or third one.
     count: u64,
-    next: u64,
-    conns: BTreeMap<u64, TcpStream>,
-    /// Set-ups that are out: their connection, attempt, and when they are answered.
-    out: BTreeMap<u64, (u64, u32, i64)>,
-    standing: BTreeMap<u64, EndpointState>,
-    /// Releases of the last seconds, said again on the next connection.
-    said: Vec<(i64, u64, i64)>,
-    /// The process lives; another start is another number.
-    life: u64,
+    last_connection: u64,
+    connections: BTreeMap<u64, TcpStream>,
+    /// Set-ups without a response: connection, attempt, and time of the response in microseconds.
+    pending_set_ups: BTreeMap<u64, (u64, u32, i64)>,
+    sessions: BTreeMap<u64, ActiveSession>,
+    /// Releases of the last seconds, which are repeated on new connections: time, tag and cause.
+    recent_releases: Vec<(i64, u64, i64)>,
+    /// Incremented at each start and stop of the process, so that threads of an earlier one end.
+    incarnation: u64,
 }
 
-/// The node; its process can die and start again at the same address.
+/// A node, whose process can be stopped and started again at the same address.
 pub struct Node {
     pub id: u32,
     pub port: u16,
@@ -82,316 +84,318 @@
             rng,
             inner: Mutex::default(),
         });
-        node.live(true)?;
+        node.start_process(true)?;
         Ok(node)
     }
 
-    fn open(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub fn set_behavior(&self, behavior: NodeBehavior) {
-        self.open().behavior = behavior;
+        self.lock().behavior = behavior;
     }
 
-    fn draw(&self, range: std::ops::Range<i64>) -> i64 {
+    fn random_in(&self, range: std::ops::Range<i64>) -> i64 {
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
         let rng: &mut dyn Rng = &mut *rng;
         rng.random_range(range)
     }
 
-    /// Its process starts; when.
-    pub fn live(self: &Arc<Node>, warm: bool) -> io::Result<i64> {
+    /// Starts the process. Returns the start time in microseconds.
+    pub fn start_process(self: &Arc<Node>, warm: bool) -> io::Result<i64> {
         let listener = TcpListener::bind(("127.0.0.1", self.port))?;
         listener.set_nonblocking(true)?;
         let (t, node) = (now(), self.id.into());
-        self.recorder.note(Record::NodeStarted {
+        self.recorder.record(Record::NodeStarted {
             time: Timestamp::from_micros(t),
             node,
-            places: PLACES,
+            places: STREAM_CAPACITY,
             warm,
             cell: None,
         });
-        let life = {
-            let mut inner = self.open();
-            inner.life += 1;
-            inner.life
+        let incarnation = {
+            let mut inner = self.lock();
+            inner.incarnation += 1;
+            inner.incarnation
         };
-        let own = self.clone();
-        thread::spawn(move || own.run(&listener, life));
+        let node_handle = self.clone();
+        thread::spawn(move || node_handle.run_process(&listener, incarnation));
         Ok(t)
     }
 
-    /// Its process dies: what stood there is over, its connections are cut.
-    pub fn die(&self) {
-        let mut inner = self.open();
-        inner.life += 1;
+    /// Stops the process without notice: its sessions end and its connections are closed.
+    pub fn stop_process(&self) {
+        let mut inner = self.lock();
+        inner.incarnation += 1;
         let t = now();
-        for conn in std::mem::take(&mut inner.conns).into_values() {
-            let _ = conn.shutdown(Shutdown::Both);
+        for connection in std::mem::take(&mut inner.connections).into_values() {
+            let _ = connection.shutdown(Shutdown::Both);
         }
-        for (session, (_, attempt, _)) in std::mem::take(&mut inner.out) {
-            self.done(session, attempt, SetUpOutcome::Abandoned);
+        for (session, (_, attempt, _)) in std::mem::take(&mut inner.pending_set_ups) {
+            self.record_set_up_finished(session, attempt, SetUpOutcome::Abandoned);
         }
-        for (session, s) in std::mem::take(&mut inner.standing) {
-            self.recorder.note(Record::SessionEnded {
+        for (session, s) in std::mem::take(&mut inner.sessions) {
+            self.recorder.record(Record::SessionEnded {
                 time: Timestamp::from_micros(t),
                 node: self.id.into(),
                 session,
                 attempt: s.attempt,
             });
-            self.recorder.ended(session, End::Untold);
+            self.recorder.session_ended(session, SessionEnd::Unnotified);
         }
-        inner.said.clear();
-        self.recorder.note(Record::NodeStopped {
+        inner.recent_releases.clear();
+        self.recorder.record(Record::NodeStopped {
             time: Timestamp::from_micros(t),
             node: self.id.into(),
             overloaded: false,
         });
     }
 
-    fn done(&self, session: u64, attempt: u32, ran: SetUpOutcome) {
-        self.recorder.note(Record::SetUpFinished {
+    fn record_set_up_finished(&self, session: u64, attempt: u32, outcome: SetUpOutcome) {
+        self.recorder.record(Record::SetUpFinished {
             time: Timestamp::from_micros(now()),
             node: self.id.into(),
             session,
             attempt,
-            outcome: ran,
+            outcome,
         });
     }
 
-    fn run(self: Arc<Node>, listener: &TcpListener, life: u64) {
-        while self.open().life == life {
+    fn run_process(self: Arc<Node>, listener: &TcpListener, incarnation: u64) {
+        while self.lock().incarnation == incarnation {
             while let Ok((stream, _)) = listener.accept() {
-                let own = self.clone();
+                let node_handle = self.clone();
                 let _ = stream.set_nonblocking(false);
                 let _ = stream.set_nodelay(true);
                 let Ok(writer) = stream.try_clone() else {
                     continue;
                 };
                 let id = {
-                    let mut inner = self.open();
-                    inner.next += 1;
-                    let id = inner.next;
-                    inner.conns.insert(id, writer);
-                    // What was released of late is said again: its first connection may be gone.
+                    let mut inner = self.lock();
+                    inner.last_connection += 1;
+                    let id = inner.last_connection;
+                    inner.connections.insert(id, writer);
+                    // Recent releases are repeated, because the connection on which they were sent may be closed.
                     let t = now();
-                    inner.said.retain(|(at, ..)| t - at < 5_000_000);
-                    let again: Vec<_> = inner
-                        .said
+                    inner.recent_releases.retain(|(at, ..)| t - at < 5_000_000);
+                    let repeated: Vec<_> = inner
+                        .recent_releases
                         .iter()
                         .map(|(_, tag, cause)| (*tag, *cause))
                         .collect();
-                    let mute = inner.behavior == NodeBehavior::Unresponsive;
-                    again
+                    let is_unresponsive = inner.behavior == NodeBehavior::Unresponsive;
+                    repeated
                         .into_iter()
-                        .filter(|_| !mute)
+                        .filter(|_| !is_unresponsive)
                         .for_each(|(tag, cause)| {
-                            say(&mut inner, id, &rtsp::release(tag, cause));
+                            send(&mut inner, id, &rtsp::release(tag, cause));
                         });
                     id
                 };
-                thread::spawn(move || own.hear(stream, id, life));
+                thread::spawn(move || node_handle.read_messages(stream, id, incarnation));
             }
             self.tick();
-            thread::sleep(TICK);
+            thread::sleep(TICK_INTERVAL);
         }
     }
 
-    /// Answers and releases that are due.
+    /// Sends the responses, releases and load notes that are due.
     fn tick(&self) {
         let t = now();
-        let mut inner = self.open();
+        let mut inner = self.lock();
         if inner.behavior == NodeBehavior::Unresponsive {
             return;
         }
         let due: Vec<_> = inner
-            .out
+            .pending_set_ups
             .iter()
             .filter(|(_, (.., at))| *at <= t)
             .map(|(tag, _)| *tag)
             .collect();
         for tag in due {
-            let Some((conn, attempt, _)) = inner.out.remove(&tag) else {
+            let Some((connection, attempt, _)) = inner.pending_set_ups.remove(&tag) else {
                 continue;
             };
-            self.answer(&mut inner, tag, conn, attempt);
+            self.respond_to_set_up(&mut inner, tag, connection, attempt);
         }
-        let over: Vec<_> = inner
-            .standing
+        let ended: Vec<_> = inner
+            .sessions
             .iter()
-            .filter(|(_, s)| s.until <= t)
+            .filter(|(_, s)| s.ends_at <= t)
             .map(|(tag, _)| *tag)
             .collect();
-        for tag in over {
-            let Some(s) = inner.standing.remove(&tag) else {
+        for tag in ended {
+            let Some(s) = inner.sessions.remove(&tag) else {
                 continue;
             };
-            self.recorder.note(Record::SessionEnded {
+            self.recorder.record(Record::SessionEnded {
                 time: Timestamp::from_micros(t),
                 node: self.id.into(),
                 session: tag,
                 attempt: s.attempt,
             });
-            self.recorder.ended(tag, End::Told);
-            inner.said.push((t, tag, 16));
-            // Whose a connection is shows by what is set up on it only: where that one is gone all hear it.
-            let own = inner.conns.contains_key(&s.conn);
-            let hear: Vec<_> = inner
-                .conns
+            self.recorder.session_ended(tag, SessionEnd::Notified);
+            inner.recent_releases.push((t, tag, 16));
+            // The node knows a director's connection only by the set-ups on it. If that connection is closed, the
+            // release is sent on all others.
+            let is_open = inner.connections.contains_key(&s.connection);
+            let receivers: Vec<_> = inner
+                .connections
                 .keys()
                 .copied()
-                .filter(|c| !own || *c == s.conn)
+                .filter(|c| !is_open || *c == s.connection)
                 .collect();
-            hear.into_iter()
-                .for_each(|conn| say(&mut inner, conn, &rtsp::release(tag, 16)));
+            receivers
+                .into_iter()
+                .for_each(|connection| send(&mut inner, connection, &rtsp::release(tag, 16)));
         }
-        let full = inner.standing.len() as f64 / PLACES;
+        let utilization = inner.sessions.len() as f64 / STREAM_CAPACITY;
         let mut notes = Vec::new();
         for (tag, s) in inner
-            .standing
+            .sessions
             .iter_mut()
-            .filter(|(_, s)| t - s.noted >= NOTES)
+            .filter(|(_, s)| t - s.last_note >= LOAD_NOTE_INTERVAL_US)
         {
-            s.noted = t;
-            notes.push((s.conn, *tag));
+            s.last_note = t;
+            notes.push((s.connection, *tag));
         }
-        for (conn, tag) in notes {
-            say(&mut inner, conn, &rtsp::note(tag, full));
+        for (connection, tag) in notes {
+            send(&mut inner, connection, &rtsp::load_note(tag, utilization));
         }
     }
 
-    fn answer(&self, inner: &mut Inner, tag: u64, conn: u64, attempt: u32) {
+    fn respond_to_set_up(&self, inner: &mut Inner, tag: u64, connection: u64, attempt: u32) {
         inner.count += 1;
-        let odd = inner.count;
+        let count = inner.count;
         match inner.behavior {
             NodeBehavior::RejectsAll => {
-                self.done(tag, attempt, SetUpOutcome::Rejected);
-                return say(inner, conn, &rtsp::answer(tag, 453, ""));
+                self.record_set_up_finished(tag, attempt, SetUpOutcome::Rejected);
+                return send(inner, connection, &rtsp::response(tag, 453, ""));
             }
-            NodeBehavior::FailsSetUps if odd.is_multiple_of(2) => {
-                self.done(tag, attempt, SetUpOutcome::Cancelled);
-                return say(inner, conn, &rtsp::answer(tag, 500, ""));
+            NodeBehavior::FailsSetUps if count.is_multiple_of(2) => {
+                self.record_set_up_finished(tag, attempt, SetUpOutcome::Cancelled);
+                return send(inner, connection, &rtsp::response(tag, 500, ""));
             }
-            NodeBehavior::SendsMalformed if odd.is_multiple_of(3) => {
-                self.done(tag, attempt, SetUpOutcome::Cancelled);
-                return say(
+            NodeBehavior::SendsMalformed if count.is_multiple_of(3) => {
+                self.record_set_up_finished(tag, attempt, SetUpOutcome::Cancelled);
+                return send(
                     inner,
-                    conn,
+                    connection,
                     b"RTSP/1.0 200 OK\r\nContent-Length: -7\r\n\r\n\xff\xfe\r\n\r\n",
                 );
             }
             _ => {}
         }
-        let made = format!("{}-{tag:016x}-{odd}\r\n", name(self.id));
+        let description = format!("{}-{tag:016x}-{count}\r\n", node_name(self.id));
         self.recorder
-            .open()
-            .made
+            .lock()
+            .descriptions
             .entry(tag)
             .or_default()
-            .push(made.clone());
-        self.done(tag, attempt, SetUpOutcome::Playing);
-        let until = now() + self.draw(LASTS);
-        inner.standing.insert(
+            .push(description.clone());
+        self.record_set_up_finished(tag, attempt, SetUpOutcome::Playing);
+        let ends_at = now() + self.random_in(SESSION_DURATION_US);
+        inner.sessions.insert(
             tag,
-            EndpointState {
-                conn,
+            ActiveSession {
+                connection,
                 attempt,
-                until,
-                noted: now(),
+                ends_at,
+                last_note: now(),
             },
         );
-        say(inner, conn, &rtsp::answer(tag, 200, &made));
+        send(inner, connection, &rtsp::response(tag, 200, &description));
     }
 
-    fn hear(&self, mut stream: TcpStream, conn: u64, life: u64) {
-        let (mut buf, mut chunk) = (Vec::new(), [0; 4096]);
+    fn read_messages(&self, mut stream: TcpStream, connection: u64, incarnation: u64) {
+        let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
         while let Ok(n) = stream.read(&mut chunk) {
-            if n == 0 || self.open().life != life {
+            if n == 0 || self.lock().incarnation != incarnation {
                 break;
             }
-            buf.extend(&chunk[..n]);
-            while let Some(message) = rtsp::take(&mut buf) {
-                self.heard(conn, &message);
+            buffer.extend(&chunk[..n]);
+            while let Some(message) = rtsp::parse_message(&mut buffer) {
+                self.handle_message(connection, &message);
             }
         }
-        let mut inner = self.open();
-        inner.conns.remove(&conn);
-        // Set-ups on a connection that ends are given up.
+        let mut inner = self.lock();
+        inner.connections.remove(&connection);
+        // Set-ups on a closed connection are abandoned.
         let open: Vec<_> = inner
-            .out
+            .pending_set_ups
             .iter()
-            .filter(|(_, o)| o.0 == conn)
+            .filter(|(_, o)| o.0 == connection)
             .map(|(t, o)| (*t, o.1))
             .collect();
         for (tag, attempt) in open {
-            inner.out.remove(&tag);
-            self.done(tag, attempt, SetUpOutcome::Abandoned);
+            inner.pending_set_ups.remove(&tag);
+            self.record_set_up_finished(tag, attempt, SetUpOutcome::Abandoned);
         }
     }
 
-    fn heard(&self, conn: u64, message: &Message) {
+    fn handle_message(&self, connection: u64, message: &Message) {
         let Some(tag) = message.tag() else { return };
         match message.method() {
-            "SETUP" => self.set_up(conn, tag, message),
+            "SETUP" => self.set_up(connection, tag, message),
             "TEARDOWN" => {
-                let mut inner = self.open();
-                if let Some((_, attempt, _)) = inner.out.remove(&tag) {
-                    self.done(tag, attempt, SetUpOutcome::Abandoned);
+                let mut inner = self.lock();
+                if let Some((_, attempt, _)) = inner.pending_set_ups.remove(&tag) {
+                    self.record_set_up_finished(tag, attempt, SetUpOutcome::Abandoned);
                 }
-                if let Some(s) = inner.standing.remove(&tag) {
+                if let Some(s) = inner.sessions.remove(&tag) {
                     let t = now();
-                    self.recorder.note(Record::SessionEnded {
+                    self.recorder.record(Record::SessionEnded {
                         time: Timestamp::from_micros(t),
                         node: self.id.into(),
                         session: tag,
                         attempt: s.attempt,
                     });
-                    self.recorder.ended(tag, End::Own);
+                    self.recorder.session_ended(tag, SessionEnd::Requested);
                 }
             }
             "SET_PARAMETER" => {
                 let rung = message
-                    .field("x-rung")
+                    .header("x-rung")
                     .and_then(|r| r.parse().ok())
                     .unwrap_or(0);
-                self.recorder.note(Record::RungChanged {
+                self.recorder.record(Record::RungChanged {
                     time: Timestamp::from_micros(now()),
                     node: self.id.into(),
                     session: tag,
                     rung,
                 });
             }
-            "OPTIONS" => say(&mut self.open(), conn, &rtsp::answer(tag, 200, "")),
+            "OPTIONS" => send(&mut self.lock(), connection, &rtsp::response(tag, 200, "")),
             _ => {}
         }
     }
 
-    fn set_up(&self, conn: u64, tag: u64, message: &Message) {
-        let mut inner = self.open();
+    fn set_up(&self, connection: u64, tag: u64, message: &Message) {
+        let mut inner = self.lock();
         let attempt = {
-            let mut recorder = self.recorder.open();
+            let mut recorder = self.recorder.lock();
             let count = recorder.attempts.entry(tag).or_default();
             *count += 1;
             *count - 1
         };
-        let class = message.field("p-kind").unwrap_or("").to_string();
+        let class = message.header("p-kind").unwrap_or("").to_string();
         let title = message
-            .first
+            .start_line
             .split(['/', ' '])
             .nth(4)
             .unwrap_or("")
             .to_string();
-        // In a set-up without a rung the lowest of the class is meant.
+        // A set-up without a rung means the lowest one of its class.
         let lowest = usize::from(class == "paid");
         let rung = message
-            .field("x-rung")
+            .header("x-rung")
             .and_then(|r| r.parse().ok())
             .unwrap_or(lowest);
         let director = crate::director_of(tag);
         let (t, node) = (now(), self.id.into());
         let session = tag;
-        self.recorder.note(Record::SetUpReceived {
+        self.recorder.record(Record::SetUpReceived {
             time: Timestamp::from_micros(t),
             node,
             director,
@@ -402,31 +406,32 @@
             title,
             rung,
         });
-        self.recorder.came(tag, t);
+        self.recorder.set_up_received(tag, t);
         if message.body != format!("v-{tag:016x}\r\n").into_bytes() {
             self.recorder.report_violation(format!(
-                "set-up of {tag:016x} with another description than its viewer's"
+                "set-up of {tag:016x} does not have its viewer's description"
             ));
         }
         if inner.behavior == NodeBehavior::ResetsConnections && tag.is_multiple_of(2) {
-            self.done(tag, attempt, SetUpOutcome::Abandoned);
-            if let Some(stream) = inner.conns.remove(&conn) {
+            self.record_set_up_finished(tag, attempt, SetUpOutcome::Abandoned);
+            if let Some(stream) = inner.connections.remove(&connection) {
                 let _ = stream.shutdown(Shutdown::Both);
             }
             return;
         }
-        inner
-            .out
-            .insert(tag, (conn, attempt, t + self.draw(ANSWER)));
+        inner.pending_set_ups.insert(
+            tag,
+            (connection, attempt, t + self.random_in(RESPONSE_DELAY_US)),
+        );
     }
 }
 
-fn say(inner: &mut Inner, conn: u64, bytes: &[u8]) {
-    let broken = inner
-        .conns
-        .get_mut(&conn)
+fn send(inner: &mut Inner, connection: u64, bytes: &[u8]) {
+    let is_broken = inner
+        .connections
+        .get_mut(&connection)
         .is_some_and(|stream| stream.write_all(bytes).is_err());
-    if broken {
-        inner.conns.remove(&conn);
+    if is_broken {
+        inner.connections.remove(&connection);
     }
 }
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -1,4 +1,4 @@
-//! What passed, as the stand-ins' ends of the sockets saw it, and what follows from it.
+//! Recording of events at the sockets of emulated nodes, viewers and journal service, and its audit.
 
 use crate::{director_of, now};
 use shalewall_audit::{
@@ -7,94 +7,99 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// On a busy machine what passes may be seen so much later, or in another order.
-const TRANSIT: i64 = 150_000;
-/// A request that has no answer by then is lost, however late answers are priced.
-const SLACK: i64 = 500_000;
-/// What has stood and is over is released within this of its node's word, and of its end without one.
-const RELEASE: i64 = 1_000_000;
-const RELEASE_UNTOLD: i64 = 8_000_000;
+/// Tolerance for events that are seen late or reordered on a busy machine.
+const TRANSIT_US: i64 = 150_000;
+/// Time after its timeout at which a request without a response counts as lost.
+const ANSWER_SLACK_US: i64 = 500_000;
+/// Time within which a session has to be released after its node's notification of its end.
+const RELEASE_LIMIT_US: i64 = 1_000_000;
+/// Time within which a session has to be released after its end, if its node could not send a notification.
+const UNNOTIFIED_RELEASE_LIMIT_US: i64 = 8_000_000;
 
-/// A request that was given up is not sent on so much later.
-const SENT_ON: i64 = 300_000;
+/// Time after its cancellation within which a request may still be forwarded to a node.
+const FORWARD_LIMIT_US: i64 = 300_000;
 
-/// How a session's end came to its director.
+/// How a director learns of the end of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Its node said so.
-    Told,
-    /// Its node died without a word.
-    Untold,
-    /// The director or the viewer ended it: no release is owed.
-    Own,
+pub enum SessionEnd {
+    /// The node sent a release.
+    Notified,
+    /// The node died without a release.
+    Unnotified,
+    /// The director or the viewer ended it, so that the viewer needs no release.
+    Requested,
 }
 
 #[derive(Default)]
 pub struct Inner {
     pub records: Vec<Record>,
-    /// Attempts of each session so far.
+    /// Number of attempts of each session.
     pub attempts: BTreeMap<u64, u32>,
-    /// Descriptions that nodes made for it.
-    pub made: BTreeMap<u64, Vec<String>>,
-    pub ends: BTreeMap<u64, (i64, End)>,
-    /// Told its viewer that it stands, and that it is over.
-    pub stood: BTreeMap<u64, i64>,
+    /// Descriptions that nodes created for each session.
+    pub descriptions: BTreeMap<u64, Vec<String>>,
+    /// End of each session in microseconds, and how its director learns of it.
+    pub ends: BTreeMap<u64, (i64, SessionEnd)>,
+    /// When each session's viewer received the response, microseconds.
+    pub playing_since: BTreeMap<u64, i64>,
+    /// When each session's viewer received the release, microseconds.
     pub released: BTreeMap<u64, i64>,
-    /// Times at which a director was down: from, until.
-    pub down: BTreeMap<u32, Vec<(i64, i64)>>,
-    /// Requests that were given up while they waited, and when their directors had been told.
-    pub left: BTreeMap<u64, i64>,
-    /// When the day began.
+    /// Downtimes of each director: start and end in microseconds.
+    pub downtimes: BTreeMap<u32, Vec<(i64, i64)>>,
+    /// Requests that were cancelled before a response, and when the cancellation was sent, microseconds.
+    pub cancelled: BTreeMap<u64, i64>,
+    /// Start of the day, microseconds.
     pub started_at: i64,
-    /// What can be wrong beside the six rules.
+    /// Violations of requirements beyond the six rules.
     pub violations: Vec<String>,
 }
 
-/// The tape; clones write to the same one.
+/// Recorder; clones write to the same recording.
 #[derive(Clone, Default)]
 pub struct Recorder(Arc<Mutex<Inner>>);
 
 impl Recorder {
-    /// A stand-in that panics fails its test by itself; what it taped before is as true as ever.
-    pub fn open(&self) -> MutexGuard<'_, Inner> {
+    /// Locks the recording, also after a panic in another thread: that thread fails the test, and the records stay
+    /// valid.
+    pub fn lock(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn note(&self, record: Record) {
-        self.open().records.push(record);
+    pub fn record(&self, record: Record) {
+        self.lock().records.push(record);
     }
 
     pub fn report_violation(&self, violation: String) {
-        self.open().violations.push(violation);
+        self.lock().violations.push(violation);
     }
 
-    /// A node has a set-up whole.
-    pub fn came(&self, tag: u64, t: i64) {
-        let mut inner = self.open();
-        let late = inner
-            .left
+    /// Checks that a set-up that arrived at `t` was not forwarded too long after its cancellation.
+    pub fn set_up_received(&self, tag: u64, t: i64) {
+        let mut inner = self.lock();
+        let delay_us = inner
+            .cancelled
             .get(&tag)
-            .map(|left| t - left)
-            .filter(|late| *late > SENT_ON + TRANSIT);
-        if let Some(late) = late {
+            .map(|cancelled_at| t - cancelled_at)
+            .filter(|delay_us| *delay_us > FORWARD_LIMIT_US + TRANSIT_US);
+        if let Some(delay_us) = delay_us {
             inner.violations.push(format!(
-                "{tag:016x} was sent on {} ms after its viewer had left",
-                late / 1000
+                "{tag:016x} was forwarded {} ms after its cancellation",
+                delay_us / 1000
             ));
         }
     }
 
-    pub fn ended(&self, tag: u64, end: End) {
-        self.open().ends.entry(tag).or_insert((now(), end));
+    pub fn session_ended(&self, tag: u64, end: SessionEnd) {
+        self.lock().ends.entry(tag).or_insert((now(), end));
     }
 
-    /// The verdict of the six rules, and what else is wrong.
-    pub fn judged(&self, rules: &Rules) -> (Verdict, Vec<String>) {
-        let inner = self.open();
+    /// Checks the recording. Returns the verdict of the six rules, and the other violations.
+    pub fn audit(&self, rules: &Rules) -> (Verdict, Vec<String>) {
+        let inner = self.lock();
         let mut records = inner.records.clone();
-        // Two nodes may be heard in another order than they were written to: what is given up counts as given up as
-        // much earlier, though not before it came.
-        let came: BTreeMap<(u64, u32), Timestamp> = records.iter().filter_map(arrival).collect();
+        // Events at two nodes may be recorded in another order than the director sent them. So an abandoned set-up
+        // counts as ended one transit tolerance earlier, but not before it arrived.
+        let arrivals: BTreeMap<(u64, u32), Timestamp> =
+            records.iter().filter_map(arrival).collect();
         for record in &mut records {
             if let Record::SetUpFinished {
                 time,
@@ -104,8 +109,11 @@
                 ..
             } = record
             {
-                let arrived = came.get(&(*session, *attempt)).copied().unwrap_or(*time);
-                *time = (*time - TimeDelta::from_micros(TRANSIT)).max(arrived);
+                let arrived = arrivals
+                    .get(&(*session, *attempt))
+                    .copied()
+                    .unwrap_or(*time);
+                *time = (*time - TimeDelta::from_micros(TRANSIT_US)).max(arrived);
             }
         }
         records.sort_by_key(Record::time);
@@ -114,23 +122,25 @@
         let last = records.last().map_or(0, |record| record.time().as_micros());
         for (tag, (at, end)) in &inner.ends {
             let within = match end {
-                End::Told => RELEASE,
-                End::Untold => RELEASE_UNTOLD,
-                End::Own => continue,
-            } + TRANSIT;
-            // What never stood for its viewer has its one answer, and a director that was away hears of it later.
-            let away = |(from, until): &(i64, i64)| *from <= at + within && *until + within >= *at;
+                SessionEnd::Notified => RELEASE_LIMIT_US,
+                SessionEnd::Unnotified => UNNOTIFIED_RELEASE_LIMIT_US,
+                SessionEnd::Requested => continue,
+            } + TRANSIT_US;
+            // A session that never played for its viewer needs no release, and a director that was down may release
+            // late.
+            let was_down =
+                |(from, until): &(i64, i64)| *from <= at + within && *until + within >= *at;
             let excused = inner
-                .down
+                .downtimes
                 .get(&director_of(*tag))
-                .is_some_and(|d| d.iter().any(away));
-            if !inner.stood.contains_key(tag) || excused || at + within > last {
+                .is_some_and(|d| d.iter().any(was_down));
+            if !inner.playing_since.contains_key(tag) || excused || at + within > last {
                 continue;
             }
             if inner.released.get(tag).is_none_or(|t| *t > at + within) {
                 let at = (at - inner.started_at) / 1000;
                 violations.push(format!(
-                    "session {tag:016x} is over since {at} ms ({end:?}) and not released in time"
+                    "session {tag:016x} ended at {at} ms ({end:?}) and was not released in time"
                 ));
             }
         }
@@ -151,7 +161,7 @@
     Some(((*session, *attempt), *time))
 }
 
-/// The rules of the rig's settings: [`crate::director::settings`] tells the directors the same figures.
+/// Parameters of the rules, the same as in the directors' settings by [`crate::director::settings`].
 pub fn rules() -> Rules {
     let class = |paid, floor, seats| ClassRule { paid, floor, seats };
     Rules {
@@ -162,7 +172,7 @@
         .into(),
         tenants: BTreeMap::new(),
         drain_within: TimeDelta::from_millis(250),
-        answer_slack: TimeDelta::from_micros(SLACK),
+        answer_slack: TimeDelta::from_micros(ANSWER_SLACK_US),
         warm_after: TimeDelta::from_secs(4),
         start_capacity: 0.4,
         overload_factor: 2.0,
@@ -174,11 +184,11 @@
         }),
         cells: 0,
         titles: BTreeMap::new(),
-        transit: TimeDelta::from_micros(TRANSIT),
+        transit: TimeDelta::from_micros(TRANSIT_US),
     }
 }
 
-/// The rules that a verdict found broken.
+/// The rules of which a verdict has violations.
 pub fn broken_rules(verdict: &Verdict) -> Vec<Rule> {
     let mut rules: Vec<Rule> = verdict.findings.iter().map(|f| f.rule).collect();
     rules.sort_unstable();
--- a/crates/test-harness/src/viewer.rs
+++ b/crates/test-harness/src/viewer.rs
@@ -1,7 +1,8 @@
-//! The viewers of one director: they ask, hear answers and releases, and hand over what they have after a restart.
+//! Emulated viewers of one director: they send requests, receive responses and releases, and report their sessions to a
+//! restarted director.
 
-use crate::recorder::{End, Recorder};
-use crate::{name, now};
+use crate::recorder::{Recorder, SessionEnd};
+use crate::{node_name, now};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
@@ -14,34 +15,35 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How long a viewer waits, in milliseconds.
-pub const LEFT: i64 = 1_200;
-/// Pauses between requests, in milliseconds.
-const GAP: std::ops::Range<u64> = 40..160;
-pub const TITLES: u64 = 40;
+/// Time that a viewer waits for a response.
+pub const REQUEST_TIMEOUT_MS: i64 = 1_200;
+/// Interval between requests.
+const REQUEST_INTERVAL_MS: std::ops::Range<u64> = 40..160;
+/// Number of titles that viewers request.
+pub const TITLE_COUNT: u64 = 40;
 
 #[derive(Default)]
 struct Inner {
-    /// Requests without an answer.
-    open: BTreeMap<u64, i64>,
-    /// Sessions that stand, and their nodes.
-    standing: BTreeMap<u64, String>,
+    /// Requests without a response, with their time in microseconds.
+    pending: BTreeMap<u64, i64>,
+    /// Active sessions, with the names of their nodes.
+    sessions: BTreeMap<u64, String>,
 }
 
 /// All viewers of a director, on one connection at a time.
 pub struct Viewers {
     stop: Arc<AtomicBool>,
-    /// No new requests meanwhile: the front has taken the director out.
+    /// Whether no new requests are sent, because the director is out of rotation.
     pub paused: Arc<AtomicBool>,
     pub request_count: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
 }
 
-fn open(inner: &Mutex<Inner>) -> MutexGuard<'_, Inner> {
+fn lock(inner: &Mutex<Inner>) -> MutexGuard<'_, Inner> {
     inner.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn line(verb: &str, tag: u64, opts: Value, blob: Option<String>) -> String {
+fn message_line(verb: &str, tag: u64, opts: Value, blob: Option<String>) -> String {
     let mut line = json!({ "verb": verb, "tag": format!("{tag:016x}"), "opts": opts });
     if let Some(blob) = blob {
         line["blob"] = blob.into();
@@ -49,22 +51,25 @@
     format!("{line}\n")
 }
 
-fn start(tag: u64, class: &str, left: i64, title: u64, more: &str) -> String {
-    let extras = format!("home:{};copies:3;top:2;viewer:{tag:016x}{more}", title % 6);
-    let opts = json!({ "class": class, "left": left.to_string(), "key": format!("{title:016x}"),
+fn start_message(tag: u64, class: &str, timeout_ms: i64, title: u64, more_extras: &str) -> String {
+    let extras = format!(
+        "home:{};copies:3;top:2;viewer:{tag:016x}{more_extras}",
+        title % 6
+    );
+    let opts = json!({ "class": class, "left": timeout_ms.to_string(), "key": format!("{title:016x}"),
         "hint": "1500.0", "extras": extras });
-    line("START", tag, opts, Some(format!("v-{tag:016x}\r\n")))
+    message_line("START", tag, opts, Some(format!("v-{tag:016x}\r\n")))
 }
 
-/// Class and title of a request follow from its tag, so that it can be told anew.
-fn asks_for(tag: u64) -> (&'static str, u64) {
+/// Class and title of a request, derived from its tag so that the session can be reported again after a restart.
+fn class_and_title(tag: u64) -> (&'static str, u64) {
     (
         if tag.is_multiple_of(3) {
             "paid"
         } else {
             "free"
         },
-        (tag >> 3) % TITLES,
+        (tag >> 3) % TITLE_COUNT,
     )
 }
 
@@ -76,10 +81,10 @@
             Arc::new(AtomicBool::new(false)),
         );
         let request_count = Arc::new(AtomicU64::new(0));
-        let own = (inner, stop.clone(), paused.clone(), request_count.clone());
+        let shared = (inner, stop.clone(), paused.clone(), request_count.clone());
         let thread = thread::spawn(move || {
             let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (u64::from(director) << 32));
-            let (inner, stop, paused, request_count) = own;
+            let (inner, stop, paused, request_count) = shared;
             while !stop.load(Ordering::Relaxed) {
                 let Ok(stream) = TcpStream::connect(("127.0.0.1", port)) else {
                     thread::sleep(Duration::from_millis(50));
@@ -90,9 +95,12 @@
                     return;
                 };
                 let alive = Arc::new(AtomicBool::new(true));
-                let (heard, up, seen) = (inner.clone(), alive.clone(), recorder.clone());
-                let listens = thread::spawn(move || listen(reader, &heard, &seen, &up));
-                converse(
+                let (reader_inner, reader_alive, reader_recorder) =
+                    (inner.clone(), alive.clone(), recorder.clone());
+                let reader_thread = thread::spawn(move || {
+                    read_responses(reader, &reader_inner, &reader_recorder, &reader_alive)
+                });
+                send_requests(
                     director,
                     stream,
                     &inner,
@@ -100,11 +108,11 @@
                     &mut rng,
                     (&stop, &paused, &alive, &request_count),
                 );
-                let _ = listens.join();
-                for (ask, _) in std::mem::take(&mut open(&inner).open) {
-                    recorder.note(Record::RequestUnanswered {
+                let _ = reader_thread.join();
+                for (request, _) in std::mem::take(&mut lock(&inner).pending) {
+                    recorder.record(Record::RequestUnanswered {
                         time: Timestamp::from_micros(now()),
-                        request: ask,
+                        request,
                     });
                 }
             }
@@ -117,14 +125,14 @@
         }
     }
 
-    pub fn end(&mut self) {
+    pub fn stop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
     }
 }
 
-/// Says what stands, then asks until the connection ends or is to end.
-fn converse(
+/// Reports the active sessions, then sends requests until the connection closes or the viewers are stopped.
+fn send_requests(
     director: u32,
     mut stream: TcpStream,
     inner: &Mutex<Inner>,
@@ -132,29 +140,30 @@
     rng: &mut ChaCha8Rng,
     (stop, paused, alive, request_count): (&AtomicBool, &AtomicBool, &AtomicBool, &AtomicU64),
 ) {
-    let stood = open(inner).standing.clone();
-    for (tag, node) in stood {
-        let (class, title) = asks_for(tag);
-        let _ = stream.write_all(start(tag, class, 0, title, &format!(";at:{node}")).as_bytes());
+    let sessions = lock(inner).sessions.clone();
+    for (tag, node) in sessions {
+        let (class, title) = class_and_title(tag);
+        let _ = stream
+            .write_all(start_message(tag, class, 0, title, &format!(";at:{node}")).as_bytes());
     }
     while alive.load(Ordering::Relaxed) && !stop.load(Ordering::Relaxed) {
-        thread::sleep(Duration::from_millis(rng.random_range(GAP)));
+        thread::sleep(Duration::from_millis(rng.random_range(REQUEST_INTERVAL_MS)));
         if paused.load(Ordering::Relaxed) || !alive.load(Ordering::Relaxed) {
             continue;
         }
         let tag = (u64::from(director) << 48) | (request_count.fetch_add(1, Ordering::Relaxed) + 1);
-        let (class, title) = asks_for(tag);
-        let (t, wait) = (now(), LEFT * 1000);
-        open(inner).open.insert(tag, t);
+        let (class, title) = class_and_title(tag);
+        let (t, timeout_us) = (now(), REQUEST_TIMEOUT_MS * 1000);
+        lock(inner).pending.insert(tag, t);
         if stream
-            .write_all(start(tag, class, LEFT, title, "").as_bytes())
+            .write_all(start_message(tag, class, REQUEST_TIMEOUT_MS, title, "").as_bytes())
             .is_err()
         {
-            open(inner).open.remove(&tag); // it never came whole
+            lock(inner).pending.remove(&tag); // the request was not sent completely
             break;
         }
         let (class, title, key) = (class.to_string(), title.to_string(), format!("{tag:016x}"));
-        recorder.note(Record::RequestSent {
+        recorder.record(Record::RequestSent {
             time: Timestamp::from_micros(t),
             director,
             request: tag,
@@ -162,96 +171,101 @@
             tenant: None,
             class,
             title,
-            timeout: TimeDelta::from_micros(wait),
+            timeout: TimeDelta::from_micros(timeout_us),
         });
-        // Now and then one waits no longer, at once or after a while.
+        // One in ten viewers cancels its request, at once or after a while.
         if rng.random_range(0..10) == 0 {
             thread::sleep(Duration::from_millis(rng.random_range(0..30)));
-            if open(inner).open.remove(&tag).is_some() {
-                let given_up =
+            if lock(inner).pending.remove(&tag).is_some() {
+                let cancellation =
                     json!({ "verb": "FINISH", "tag": format!("{tag:016x}"), "opts": {}, "rc": 16 });
-                let said = stream.write_all(format!("{given_up}\n").as_bytes());
-                recorder.note(Record::RequestCancelled {
+                let sent = stream.write_all(format!("{cancellation}\n").as_bytes());
+                recorder.record(Record::RequestCancelled {
                     time: Timestamp::from_micros(now()),
                     request: tag,
                 });
-                recorder.open().left.insert(tag, now());
-                if said.is_err() {
+                recorder.lock().cancelled.insert(tag, now());
+                if sent.is_err() {
                     break;
                 }
             }
         }
-        // Now and then a viewer has seen enough.
-        let leaves = rng.random_range(0..20) == 0;
-        let left = if leaves {
-            open(inner).standing.pop_first()
+        // With a probability of 1 in 20 a viewer ends a session.
+        let ends_session = rng.random_range(0..20) == 0;
+        let ended_session = if ends_session {
+            lock(inner).sessions.pop_first()
         } else {
             None
         };
-        if let Some((tag, _)) = left {
-            recorder.ended(tag, End::Own);
-            let _ = stream.write_all(line("FINISH", tag, json!({}), None).as_bytes());
+        if let Some((tag, _)) = ended_session {
+            recorder.session_ended(tag, SessionEnd::Requested);
+            let _ = stream.write_all(message_line("FINISH", tag, json!({}), None).as_bytes());
         }
     }
     let _ = stream.shutdown(std::net::Shutdown::Write);
 }
 
-fn listen(stream: TcpStream, inner: &Mutex<Inner>, recorder: &Recorder, alive: &AtomicBool) {
-    for said in BufReader::new(stream).lines() {
-        let Ok(said) = said else { break };
-        let Ok(message) = serde_json::from_str::<Value>(&said) else {
-            recorder.report_violation(format!("a viewer was told what can't be read: {said}"));
+fn read_responses(
+    stream: TcpStream,
+    inner: &Mutex<Inner>,
+    recorder: &Recorder,
+    alive: &AtomicBool,
+) {
+    for line in BufReader::new(stream).lines() {
+        let Ok(line) = line else { break };
+        let Ok(message) = serde_json::from_str::<Value>(&line) else {
+            recorder.report_violation(format!("a viewer received a malformed message: {line}"));
             break;
         };
         let tag = message["tag"]
             .as_str()
             .and_then(|t| u64::from_str_radix(t, 16).ok())
             .unwrap_or(0);
-        heard(tag, &message, inner, recorder);
+        handle_message(tag, &message, inner, recorder);
     }
     alive.store(false, Ordering::Relaxed);
 }
 
-fn heard(tag: u64, message: &Value, inner: &Mutex<Inner>, recorder: &Recorder) {
+fn handle_message(tag: u64, message: &Value, inner: &Mutex<Inner>, recorder: &Recorder) {
     let t = now();
-    let mut inner = open(inner);
-    let waits = inner.open.remove(&tag).is_some();
+    let mut inner = lock(inner);
+    let is_pending = inner.pending.remove(&tag).is_some();
     match message["verb"].as_str().unwrap_or("") {
-        // It crossed the word that its viewer waits no more: the session ends by that.
-        "STARTED" if !waits && recorder.open().left.contains_key(&tag) => {
-            recorder.ended(tag, End::Own)
+        // The response crossed the viewer's cancellation, which ends the session.
+        "STARTED" if !is_pending && recorder.lock().cancelled.contains_key(&tag) => {
+            recorder.session_ended(tag, SessionEnd::Requested)
         }
         "STARTED" => {
-            recorder.note(Record::RequestAnswered {
+            recorder.record(Record::RequestAnswered {
                 time: Timestamp::from_micros(t),
                 request: tag,
                 status: 200,
                 session: Some(tag),
             });
             let blob = message["blob"].as_str().unwrap_or("");
-            let made = recorder
-                .open()
-                .made
+            let is_known = recorder
+                .lock()
+                .descriptions
                 .get(&tag)
-                .is_some_and(|made| made.iter().any(|m| m == blob));
-            if !made {
+                .is_some_and(|descriptions| descriptions.iter().any(|m| m == blob));
+            if !is_known {
                 recorder.report_violation(format!(
-                    "{tag:016x} was served with what no node made for it: {blob:?}"
+                    "{tag:016x} was served with a description that no node created for it: {blob:?}"
                 ));
             }
-            recorder.open().stood.entry(tag).or_insert(t);
-            // The node's name begins the description.
+            recorder.lock().playing_since.entry(tag).or_insert(t);
+            // The description starts with the node's name.
             inner
-                .standing
-                .insert(tag, blob.get(..10).unwrap_or(&name(0)).to_string());
+                .sessions
+                .insert(tag, blob.get(..10).unwrap_or(&node_name(0)).to_string());
         }
-        "FINISH" if waits => {
+        "FINISH" if is_pending => {
             let status = if matches!(message["rc"].as_i64(), Some(34 | 42 | 102)) {
                 503
             } else {
                 502
             };
-            recorder.note(Record::RequestAnswered {
+            recorder.record(Record::RequestAnswered {
                 time: Timestamp::from_micros(t),
                 request: tag,
                 status,
@@ -259,8 +273,8 @@
             });
         }
         "FINISH" => {
-            inner.standing.remove(&tag);
-            recorder.open().released.entry(tag).or_insert(t);
+            inner.sessions.remove(&tag);
+            recorder.lock().released.entry(tag).or_insert(t);
         }
         _ => {}
     }
