--- a/crates/audit/src/judge.rs
+++ b/crates/audit/src/judge.rs
@@ -27,7 +27,7 @@
 pub fn judge(records: &[Record], rules: &Rules) -> Verdict {
     let mut judge = Judge {
         rules,
-        outages: Outages::of(records),
+        outages: Outages::from_records(records),
         verdict: Verdict::default(),
         attempts: Attempts::default(),
         directors: Directors::default(),
@@ -36,7 +36,7 @@
         retry_windows: RetryWindows::default(),
     };
     for record in records {
-        judge.take(record);
+        judge.process(record);
     }
     judge.check_answers(records);
     judge.verdict.findings.sort_by_key(|finding| finding.time);
@@ -79,29 +79,29 @@
 }
 
 impl Judge<'_> {
-    fn take(&mut self, record: &Record) {
+    fn process(&mut self, record: &Record) {
         let time = record.time();
         match record {
             Record::NodeStarted { .. } | Record::NodeStopped { .. } => {
-                self.take_node_change(time, record)
+                self.process_node_change(time, record)
             }
             Record::SetUpReceived { .. } | Record::SetUpFinished { .. } => {
-                self.take_set_up(time, record)
+                self.process_set_up(time, record)
             }
             Record::MigrationReceived { .. } | Record::MigrationReady { .. } => {
-                self.take_migration(time, record)
+                self.process_migration(time, record)
             }
             Record::PartialRequest { .. }
             | Record::RungChanged { .. }
-            | Record::SessionEnded { .. } => self.take_session_change(time, record),
+            | Record::SessionEnded { .. } => self.process_session_change(time, record),
             Record::EndpointNotified { .. }
             | Record::RequestSent { .. }
-            | Record::DirectorStarted { .. } => self.take_director_event(time, record),
+            | Record::DirectorStarted { .. } => self.process_director_event(time, record),
             _ => {}
         }
     }
 
-    fn take_node_change(&mut self, time: Timestamp, record: &Record) {
+    fn process_node_change(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::NodeStarted {
                 node, places, warm, ..
@@ -113,7 +113,7 @@
         }
     }
 
-    fn take_set_up(&mut self, time: Timestamp, record: &Record) {
+    fn process_set_up(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::SetUpReceived {
                 node,
@@ -147,7 +147,7 @@
         }
     }
 
-    fn take_migration(&mut self, time: Timestamp, record: &Record) {
+    fn process_migration(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::MigrationReceived {
                 node,
@@ -177,7 +177,7 @@
         }
     }
 
-    fn take_session_change(&mut self, time: Timestamp, record: &Record) {
+    fn process_session_change(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::PartialRequest {
                 session: Some(session),
@@ -200,7 +200,7 @@
         }
     }
 
-    fn take_director_event(&mut self, time: Timestamp, record: &Record) {
+    fn process_director_event(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::EndpointNotified {
                 director,
--- a/crates/audit/src/judge/answers.rs
+++ b/crates/audit/src/judge/answers.rs
@@ -46,13 +46,13 @@
     pub(super) fn check_answers(&mut self, records: &[Record]) {
         let mut requests = Requests::default();
         for record in records {
-            self.take_answer_record(&mut requests, record);
+            self.process_answer_record(&mut requests, record);
         }
         let last = records.last().map_or(Timestamp::ZERO, Record::time);
         self.check_open_requests(&requests, last);
     }
 
-    fn take_answer_record<'r>(&mut self, requests: &mut Requests<'r>, record: &'r Record) {
+    fn process_answer_record<'r>(&mut self, requests: &mut Requests<'r>, record: &'r Record) {
         let time = record.time();
         match record {
             Record::RequestSent {
--- a/crates/audit/src/judge/directors.rs
+++ b/crates/audit/src/judge/directors.rs
@@ -77,7 +77,7 @@
 }
 
 impl Outages {
-    pub fn of(records: &[Record]) -> Outages {
+    pub fn from_records(records: &[Record]) -> Outages {
         let mut outages = Outages::default();
         for record in records {
             let time = record.time();
--- a/crates/audit/src/migrations.rs
+++ b/crates/audit/src/migrations.rs
@@ -32,7 +32,7 @@
 pub fn review_migrations(records: &[Record], rules: &Rules) -> MigrationReport {
     let mut observations = Observations::default();
     for record in records {
-        observations.take(record);
+        observations.process(record);
     }
     let mut report = MigrationReport {
         served_twice: observations.served_twice,
--- a/crates/audit/src/migrations/observations.rs
+++ b/crates/audit/src/migrations/observations.rs
@@ -88,7 +88,7 @@
 }
 
 impl Observations {
-    pub fn take(&mut self, record: &Record) {
+    pub fn process(&mut self, record: &Record) {
         let time = record.time();
         match record {
             Record::NodeStarted { node, cell, .. } => self.node(*node).start(time, *cell),
@@ -122,11 +122,11 @@
                 let leaving = self.leaving.entry(notified).or_default();
                 leaving.push(time, standing != READY);
             }
-            _ => self.take_session_record(time, record),
+            _ => self.process_session_record(time, record),
         }
     }
 
-    fn take_session_record(&mut self, time: Timestamp, record: &Record) {
+    fn process_session_record(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::SetUpReceived {
                 node,
@@ -139,7 +139,7 @@
                     from: time,
                     node: *node,
                 };
-                self.take_set_up(*session, *director, title, stay);
+                self.process_set_up(*session, *director, title, stay);
             }
             Record::MigrationReceived { session, epoch, .. } => {
                 let key = SessionEpoch::new(*session, *epoch);
@@ -152,7 +152,7 @@
                 ..
             } => {
                 let key = SessionEpoch::new(*session, *epoch);
-                self.take_fetch(key, Fetch { time, node: *node });
+                self.process_fetch(key, Fetch { time, node: *node });
             }
             Record::PlaybackGap {
                 session, duration, ..
@@ -165,7 +165,7 @@
         }
     }
 
-    fn take_set_up(&mut self, session: u64, director: u32, title: &str, stay: Stay) {
+    fn process_set_up(&mut self, session: u64, director: u32, title: &str, stay: Stay) {
         let new_session = || Session {
             director,
             title: title.to_string(),
@@ -175,7 +175,7 @@
         session.stays.push(stay);
     }
 
-    fn take_fetch(&mut self, key: SessionEpoch, fetch: Fetch) {
+    fn process_fetch(&mut self, key: SessionEpoch, fetch: Fetch) {
         let first = self.fetched.get(&key);
         let Some(first) = first else {
             self.fetched.insert(key, fetch);
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -196,30 +196,30 @@
         SetUpOutcome::Abandoned,
         SetUpOutcome::Cancelled,
     ] {
-        let again = vec![
+        let retried = vec![
             set_up(0, 1, 0, "paid"),
             set_up_finished(SECOND_US, 1, 0, outcome),
             set_up(2 * SECOND_US, 1, 1, "paid"),
         ];
-        assert_violation(again, Some(Rule::NoDuplicateSetUp));
+        assert_violation(retried, Some(Rule::NoDuplicateSetUp));
     }
-    let proven = vec![
+    let retry_after_rejection = vec![
         set_up(0, 1, 0, "paid"),
         set_up_finished(SECOND_US, 1, 0, SetUpOutcome::Rejected),
         set_up(2 * SECOND_US, 1, 1, "paid"),
     ];
-    assert_violation(proven, None);
-    let harmless = vec![
+    assert_violation(retry_after_rejection, None);
+    let idempotent_retry = vec![
         set_up(0, 1, 0, "open"),
         set_up_finished(SECOND_US, 1, 0, SetUpOutcome::Abandoned),
         set_up(2 * SECOND_US, 1, 1, "open"),
     ];
-    assert_violation(harmless, None);
+    assert_violation(idempotent_retry, None);
     assert_violation(
         vec![set_up(0, 1, 0, "open"), set_up(SECOND_US, 1, 1, "open")],
         Some(Rule::NoDuplicateSetUp),
     );
-    let part = Record::PartialRequest {
+    let partial_request = Record::PartialRequest {
         time: at(0),
         node: 1,
         bytes: 30,
@@ -227,10 +227,10 @@
         attempt: Some(0),
     };
     assert_violation(
-        vec![part.clone(), set_up(SECOND_US, 1, 1, "paid")],
+        vec![partial_request.clone(), set_up(SECOND_US, 1, 1, "paid")],
         Some(Rule::NoDuplicateSetUp),
     );
-    assert_violation(vec![part, set_up(SECOND_US, 1, 1, "open")], None);
+    assert_violation(vec![partial_request, set_up(SECOND_US, 1, 1, "open")], None);
     // A rejection states that the set-up was not executed.
     let rejected = |outcome| {
         vec![
@@ -318,12 +318,12 @@
 
 #[test]
 fn floors_and_seats_hold() {
-    let mut low = set_up(0, 1, 0, "paid");
-    if let Record::SetUpReceived { rung, .. } = &mut low {
+    let mut below_floor = set_up(0, 1, 0, "paid");
+    if let Record::SetUpReceived { rung, .. } = &mut below_floor {
         *rung = 0;
     }
-    assert_violation(vec![low], Some(Rule::FloorsAndSeats));
-    let step = Record::RungChanged {
+    assert_violation(vec![below_floor], Some(Rule::FloorsAndSeats));
+    let rung_change = Record::RungChanged {
         time: at(SECOND_US),
         node: 1,
         session: 1,
@@ -333,7 +333,7 @@
         vec![
             set_up(0, 1, 0, "paid"),
             set_up_finished(1, 1, 0, SetUpOutcome::Playing),
-            step,
+            rung_change,
         ],
         Some(Rule::FloorsAndSeats),
     );
@@ -393,7 +393,7 @@
         [others(), vec![tenant_set_up(3, 4, 0, "open", Some("own"))]].concat(),
         None,
     );
-    let mut two = [
+    let mut two_sessions = [
         others(),
         vec![
             tenant_set_up(3, 4, 0, "open", Some("own")),
@@ -401,9 +401,9 @@
         ],
     ]
     .concat();
-    assert_violation(two.clone(), Some(Rule::FloorsAndSeats));
-    two.sort_by_key(Record::time);
-    let verdict = judge(&two, &rules());
+    assert_violation(two_sessions.clone(), Some(Rule::FloorsAndSeats));
+    two_sessions.sort_by_key(Record::time);
+    let verdict = judge(&two_sessions, &rules());
     assert_eq!(verdict.findings[0].tenant.as_deref(), Some("own"));
     let text = verdict.to_string();
     assert!(
@@ -411,10 +411,10 @@
         "{text}"
     );
     assert_eq!(verdict.tenants["other"][&Rule::NoDuplicateSetUp].checks, 1);
-    let again = vec![
+    let retried = vec![
         tenant_set_up(0, 4, 0, "open", Some("own")),
         set_up_finished(1, 4, 0, SetUpOutcome::Abandoned),
         tenant_set_up(2, 4, 1, "open", Some("own")),
     ];
-    assert_violation(again, Some(Rule::NoDuplicateSetUp));
+    assert_violation(retried, Some(Rule::NoDuplicateSetUp));
 }
--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -43,11 +43,11 @@
 
 /// Settings for the notifications, media and records of all nodes.
 #[derive(Clone, Debug)]
-pub struct NotificationSettings {
+pub struct NodeSettings {
     /// Interval of utilization notifications; zero disables them.
-    pub interval: Duration,
+    pub notification_interval: Duration,
     /// Delay of all notifications.
-    pub delay: Duration,
+    pub notification_delay: Duration,
     /// Fraction of the true rates that is sent on the sockets.
     pub media_fraction: f64,
     /// Key of migration tickets; without it nodes accept no migration.
@@ -103,7 +103,7 @@
     executor: Rc<LocalExecutor<'static>>,
     inner: Rc<RefCell<Inner>>,
     recorder: Recorder,
-    settings: Rc<NotificationSettings>,
+    settings: Rc<NodeSettings>,
     limits: Rc<Limits>,
 }
 
@@ -198,7 +198,7 @@
         executor: Rc<LocalExecutor<'static>>,
         fleet: Fleet,
         recorder: Recorder,
-        settings: NotificationSettings,
+        settings: NodeSettings,
     ) -> Nodes {
         let (servers, open_streams, node_sessions) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -753,8 +753,8 @@
     /// Polls the fleet and sends the notifications that are due.
     async fn send_notifications(self) {
         let mut notifier = Notifier::new(
-            TimeDelta::from_micros(self.settings.interval.as_micros() as i64),
-            TimeDelta::from_micros(self.settings.delay.as_micros() as i64),
+            TimeDelta::from_micros(self.settings.notification_interval.as_micros() as i64),
+            TimeDelta::from_micros(self.settings.notification_delay.as_micros() as i64),
         );
         loop {
             Timer::after(FRAME_INTERVAL).await;
--- a/crates/scripted-days/src/emulation.rs
+++ b/crates/scripted-days/src/emulation.rs
@@ -2,7 +2,7 @@
 
 use async_executor::LocalExecutor;
 use shalewall_emulator::list::{EndpointEntry, EndpointList};
-use shalewall_emulator::nodes::{Nodes, NotificationSettings};
+use shalewall_emulator::nodes::{NodeSettings, Nodes};
 use shalewall_emulator::recorder::Recorder;
 use shalewall_emulator::viewers::Viewers;
 use shalewall_fleet_model::fleet::Fleet;
@@ -36,8 +36,8 @@
         }
         let file = out.join("move.key");
         let bytes: [u8; 32] = rand::random();
-        let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-        std::fs::write(&file, digits)?;
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        std::fs::write(&file, hex)?;
         let key = TicketKey::new(bytes);
         Ok(Some(MigrationKey { file, key }))
     }
@@ -70,12 +70,12 @@
         migration_key: Option<MigrationKey>,
     ) -> io::Result<Emulation> {
         let seed = plan.day.seed;
-        let (physics, machines) = plan::fleet(plan);
+        let (fleet_parameters, machines) = plan::fleet(plan);
         let nodes = Nodes::new(
             executor.clone(),
-            Fleet::new(physics, seed ^ FLEET_SEED),
+            Fleet::new(fleet_parameters, seed ^ FLEET_SEED),
             recorder.clone(),
-            notifications(plan, migration_key.as_ref()),
+            node_settings(plan, migration_key.as_ref()),
         );
         let list_delay = millis(plan.fleet.list_delay_ms);
         let (list, list_address) =
@@ -120,10 +120,10 @@
     }
 }
 
-fn notifications(plan: &DayPlan, migration_key: Option<&MigrationKey>) -> NotificationSettings {
-    NotificationSettings {
-        interval: millis(plan.site.notifications.interval_ms),
-        delay: millis(plan.site.notifications.delay_ms),
+fn node_settings(plan: &DayPlan, migration_key: Option<&MigrationKey>) -> NodeSettings {
+    NodeSettings {
+        notification_interval: millis(plan.site.notifications.interval_ms),
+        notification_delay: millis(plan.site.notifications.delay_ms),
         media_fraction: plan.day.media_fraction,
         ticket_key: migration_key.map(|migration_key| migration_key.key.clone()),
         record_loads: plan.load.following_fraction > 0.0,
--- a/crates/scripted-days/src/faults.rs
+++ b/crates/scripted-days/src/faults.rs
@@ -133,7 +133,7 @@
         let nodes = self.choose_nodes();
         let mut left_s = self.fault.duration_s;
         while left_s > 0.0 {
-            let spell_s = (0.5 + 1.5 * self.rng.random::<f64>()).min(left_s);
+            let interval_s = (0.5 + 1.5 * self.rng.random::<f64>()).min(left_s);
             let is_active = self.rng.random::<f64>() < NEIGHBOUR_ACTIVE_FRACTION;
             let competing_load = if is_active { self.fault.size } else { 0.0 };
             self.emulation.nodes.modify_fleet(|fleet| {
@@ -143,8 +143,8 @@
                     }
                 }
             });
-            Timer::after(seconds(spell_s)).await;
-            left_s -= spell_s;
+            Timer::after(seconds(interval_s)).await;
+            left_s -= interval_s;
         }
         self.emulation.nodes.modify_fleet(|fleet| {
             for node in fleet.nodes.values_mut() {
--- a/crates/scripted-days/src/run.rs
+++ b/crates/scripted-days/src/run.rs
@@ -49,8 +49,14 @@
     recorder.flush()?;
     let records = shalewall_audit::read(out)?;
     let verdict = judge(&records, &rules);
-    let moves = (plan.load.following_fraction > 0.0).then(|| review_migrations(&records, &rules));
-    let summary = Summary::new(&played.viewer_results, &verdict, moves, &played.shortfall);
+    let migrations =
+        (plan.load.following_fraction > 0.0).then(|| review_migrations(&records, &rules));
+    let summary = Summary::new(
+        &played.viewer_results,
+        &verdict,
+        migrations,
+        &played.shortfall,
+    );
     let summary_text = serde_json::to_string_pretty(&summary)?;
     std::fs::write(out.join("summary.json"), summary_text)?;
     std::fs::write(out.join("summary.txt"), summary.to_string())?;
--- a/crates/test-harness/src/journal.rs
+++ b/crates/test-harness/src/journal.rs
@@ -33,14 +33,14 @@
 
 impl HostEntry {
     fn encode(&self) -> Vec<u8> {
-        let mut b = self.node.to_be_bytes().to_vec();
-        b.extend([127, 0, 0, 1]);
-        b.extend(self.port.to_be_bytes());
-        b.extend([self.state, 0, 0]);
-        b.extend(self.cell.to_be_bytes());
-        b.extend(1000u32.to_be_bytes());
-        b.extend(self.started.to_be_bytes());
-        b
+        let mut bytes = self.node.to_be_bytes().to_vec();
+        bytes.extend([127, 0, 0, 1]);
+        bytes.extend(self.port.to_be_bytes());
+        bytes.extend([self.state, 0, 0]);
+        bytes.extend(self.cell.to_be_bytes());
+        bytes.extend(1000u32.to_be_bytes());
+        bytes.extend(self.started.to_be_bytes());
+        bytes
     }
 
     pub fn json(&self) -> Value {
@@ -141,11 +141,11 @@
 }
 
 fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
-    let mut b = (9 + payload.len() as u32).to_be_bytes().to_vec();
-    b.extend(number.to_be_bytes());
-    b.push(kind);
-    b.extend(payload);
-    b
+    let mut bytes = (9 + payload.len() as u32).to_be_bytes().to_vec();
+    bytes.extend(number.to_be_bytes());
+    bytes.push(kind);
+    bytes.extend(payload);
+    bytes
 }
 
 fn serve(inner: &Inner, mut stream: TcpStream) {
