--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -160,8 +160,8 @@
             Some((event, (list, updates)))
         });
         Reply::new(200)
-            .with("Content-Type", "text/event-stream")
-            .pieces(stream::once(first).chain(rest))
+            .with_field("Content-Type", "text/event-stream")
+            .stream(stream::once(first).chain(rest))
     }
 
     async fn wait_until_reachable(&self) {
@@ -186,7 +186,7 @@
             Some(Some(update))
         };
         let update = future::or(update, beat).await?;
-        Some(update.map_or(sse::BEAT.to_vec(), |update| {
+        Some(update.map_or(sse::KEEP_ALIVE.to_vec(), |update| {
             self.encode_event(director, &update)
         }))
     }
@@ -205,7 +205,7 @@
             });
         }
         let mut event = Vec::new();
-        sse::write(
+        sse::write_event(
             &mut event,
             kind,
             &serde_json::to_string(entries).unwrap_or_default(),
--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -18,7 +18,7 @@
     ActiveSession, AttemptId, Fleet, Machine, ProcessState, SetupDecision,
 };
 use shalewall_fleet_model::notifications::Notifier;
-use shalewall_http::server::{Ended, Reply, Request, serve};
+use shalewall_http::server::{ConnectionEnd, Reply, Request, serve};
 use shalewall_http::{Limits, sse};
 use shalewall_migration::Epoch;
 use shalewall_migration::node::NodeSessions;
@@ -417,7 +417,7 @@
                 // A crashed process resets its connections.
                 let _ = set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
             }
-            Some(Ended::Cut(bytes)) => {
+            Some(ConnectionEnd::Truncated(bytes)) => {
                 let text = String::from_utf8_lossy(&bytes);
                 let attempt_id = text.split(' ').nth(1).and_then(parse_attempt_id);
                 let (time, bytes) = (shalewall_clock::now(), bytes.len());
@@ -457,7 +457,7 @@
     /// Adds the load header that every response carries.
     fn with_load(&self, node_id: u64, reply: Reply) -> Reply {
         let load = self.inner.borrow().fleet.reported_load(node_id);
-        reply.with(
+        reply.with_field(
             "Shalewall-Load",
             format!(
                 "streams={}, link={:.4}, uplink={:.4}",
@@ -545,7 +545,7 @@
             holds_stream: false,
         };
         let never_ran =
-            |status, what| Reply::problem(status, what).with("Shalewall-Never-Ran", "yes");
+            |status, what| Reply::problem(status, what).with_field("Shalewall-Never-Ran", "yes");
         let decision = self.inner.borrow_mut().fleet.begin_setup(
             node_id,
             attempt_id,
@@ -698,7 +698,7 @@
             .filter_map(|attempt_id| self.session_description(node_id, attempt_id))
             .collect();
         let mut first = Vec::new();
-        sse::write(
+        sse::write_event(
             &mut first,
             "held",
             &serde_json::json!(descriptions).to_string(),
@@ -714,20 +714,20 @@
             let beat = async {
                 Timer::after(HEARTBEAT_INTERVAL).await;
                 lease.nodes.wait_until_running(lease.node_id).await;
-                Some(sse::BEAT.to_vec())
+                Some(sse::KEEP_ALIVE.to_vec())
             };
             let next = async {
                 let (kind, data) = lease.receiver.recv().await.ok()?;
                 lease.nodes.wait_until_running(lease.node_id).await;
                 let mut out = Vec::new();
-                sse::write(&mut out, kind, &data);
+                sse::write_event(&mut out, kind, &data);
                 Some(out)
             };
             future::or(next, beat).await.map(|out| (out, lease))
         });
         Reply::new(200)
-            .with("Content-Type", "text/event-stream")
-            .pieces(stream::once(first).chain(rest))
+            .with_field("Content-Type", "text/event-stream")
+            .stream(stream::once(first).chain(rest))
     }
 
     /// Ends the sessions of a director that had no event stream during the lease.
--- a/crates/emulator/src/nodes/media.rs
+++ b/crates/emulator/src/nodes/media.rs
@@ -99,9 +99,9 @@
             node_id,
             attempt_id,
         };
-        let reply = Reply::new(200).with("Content-Type", "application/octet-stream");
+        let reply = Reply::new(200).with_field("Content-Type", "application/octet-stream");
         match request.playback_range {
-            None => reply.pieces(stream::unfold(viewer, |viewer| async {
+            None => reply.stream(stream::unfold(viewer, |viewer| async {
                 Timer::after(FRAME_INTERVAL).await;
                 viewer.nodes.wait_until_running(viewer.node_id).await;
                 viewer.frame().map(|frame| (frame, viewer))
@@ -116,7 +116,7 @@
                     live,
                     position_ms: start_ms,
                 };
-                reply.pieces(stream::unfold(paced, |mut paced| async {
+                reply.stream(stream::unfold(paced, |mut paced| async {
                     loop {
                         Timer::after(FRAME_INTERVAL).await;
                         paced
--- a/crates/emulator/src/viewers.rs
+++ b/crates/emulator/src/viewers.rs
@@ -10,7 +10,7 @@
 use shalewall_fleet_model::population::{Class, Interest, ViewerPopulation};
 use shalewall_fleet_model::totals::{TotalsByTenant, ViewerTotals};
 use shalewall_http::Limits;
-use shalewall_http::client::{Call, Failure, Incoming, Unconnected, in_time};
+use shalewall_http::client::{BodyStream, Call, CallError, ConnectErrorKind, with_timeout};
 use shalewall_http::pool::Pool;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -307,7 +307,10 @@
         let mut connection = match pool.connect().await {
             Ok(connection) => connection,
             Err(e) => {
-                let is_local = matches!(e, Failure::NotConnected(Unconnected::Own, _));
+                let is_local = matches!(
+                    e,
+                    CallError::NotConnected(ConnectErrorKind::LocalShortage, _)
+                );
                 self.local_resource_errors
                     .set(self.local_resource_errors.get() + u64::from(is_local));
                 self.update_totals(viewer, |t| t.unanswered += 1);
@@ -335,18 +338,18 @@
         self.update_totals(viewer, |t| t.requested += 1);
         // The viewer waits longer than the timeout it announced, so that late responses are recorded.
         let patience = viewer.class.request_timeout + Duration::from_secs(3);
-        let response = in_time(patience, connection.call(&call)).await;
+        let response = with_timeout(patience, connection.call(&call)).await;
         let now = shalewall_clock::now().as_micros();
         let response = match response {
             Some(Ok(response)) => response,
-            Some(Err(Failure::NotConnected(..) | Failure::NeverRan(_))) => {
+            Some(Err(CallError::NotConnected(..) | CallError::NotExecuted(_))) => {
                 self.recorder.record(Record::RequestCancelled {
                     time: Timestamp::from_micros(now),
                     request: request_id,
                 });
                 return AttemptOutcome::Retry(self.population.retry_pause);
             }
-            None | Some(Err(Failure::MayHaveRun(_))) => {
+            None | Some(Err(CallError::MaybeExecuted(_))) => {
                 self.recorder.record(Record::RequestUnanswered {
                     time: Timestamp::from_micros(now),
                     request: request_id,
@@ -396,7 +399,7 @@
                 if self.random_fraction() < 0.5 {
                     let target = format!("/sessions/{session}");
                     let end = Call::new("DELETE", &target, &host);
-                    let _ = in_time(Duration::from_secs(2), pool.call(&end)).await;
+                    let _ = with_timeout(Duration::from_secs(2), pool.call(&end)).await;
                 }
                 watched
             }
@@ -517,7 +520,7 @@
                 }
                 // A viewer gives up after five seconds without media.
                 let wait = left.min(Duration::from_secs(5));
-                match in_time(wait, frames.next()).await {
+                match with_timeout(wait, frames.next()).await {
                     Some(Some(bytes)) => {
                         playback.receive(&bytes);
                         // A session may outlast the day and the process; only playback up to the day's end counts.
@@ -569,13 +572,13 @@
 /// Opens a media stream by its URL.
 pub(crate) async fn open_media(
     url: &str,
-) -> Option<Incoming<async_io::Async<std::net::TcpStream>>> {
+) -> Option<BodyStream<async_io::Async<std::net::TcpStream>>> {
     let (host, path) = url.strip_prefix("http://")?.split_once('/')?;
     let target = format!("/{path}");
     let pool = Pool::new(host.parse().ok()?, Limits::default(), Duration::ZERO, 0);
     let call = Call::new("GET", &target, host);
     let opening = async { pool.connect().await.ok()?.stream(&call).await.ok() };
-    let (head, frames) = in_time(Duration::from_secs(5), opening).await??;
+    let (head, frames) = with_timeout(Duration::from_secs(5), opening).await??;
     (head.status == 200).then_some(frames)
 }
 
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -150,7 +150,7 @@
         epoch: Epoch,
     },
     /// The node's load, reported with one of the sessions there.
-    LoadNotified {
+    LoadReported {
         /// The session.
         session: SessionId,
         /// Part of the rate that reaches the viewers.
@@ -233,7 +233,7 @@
         tenant: String,
     },
     /// A player that can be offered another node opened or closed its event stream.
-    PlayerFollowing {
+    PlayerSubscription {
         /// The session.
         session: SessionId,
         /// The epoch that it plays; none: it can't be offered another node any more.
--- a/crates/scripted-days/src/emulation.rs
+++ b/crates/scripted-days/src/emulation.rs
@@ -126,7 +126,7 @@
         notification_delay: millis(plan.site.notifications.delay_ms),
         media_fraction: plan.day.media_fraction,
         ticket_key: migration_key.map(|migration_key| migration_key.key.clone()),
-        record_loads: plan.load.following_fraction > 0.0,
+        record_loads: plan.load.migratable_fraction > 0.0,
     }
 }
 
--- a/crates/scripted-days/src/host_resources.rs
+++ b/crates/scripted-days/src/host_resources.rs
@@ -26,7 +26,7 @@
     let playing = load.per_s * mean_length_s.min(plan.day.seconds) * rate_factor;
     // Both ends of a viewer's media stream are in this process; a viewer that supports migration also has an event
     // stream from its director.
-    let for_viewers = (playing * (2.0 + load.following_fraction)).ceil() as u64;
+    let for_viewers = (playing * (2.0 + load.migratable_fraction)).ceil() as u64;
     for_nodes + for_viewers + directors + RESERVED_DESCRIPTORS
 }
 
--- a/crates/scripted-days/src/rules.rs
+++ b/crates/scripted-days/src/rules.rs
@@ -1,7 +1,7 @@
 //! Converts the rules of a day's plan to the form that the audit uses.
 
 use shalewall_audit::{ClassRule, Placement, RetryBudget, Rules, TimeDelta};
-use shalewall_settings::{Class, DayPlan, Title, us};
+use shalewall_settings::{Class, DayPlan, Title, micros_from_millis};
 use std::collections::BTreeMap;
 
 /// Tolerance for events that are seen late or reordered, because of loopback sockets and busy processes.
@@ -45,7 +45,7 @@
 }
 
 fn length(millis: f64) -> TimeDelta {
-    TimeDelta::from_micros(us(millis))
+    TimeDelta::from_micros(micros_from_millis(millis))
 }
 
 fn placement(title: &Title) -> Placement {
--- a/crates/scripted-days/src/run.rs
+++ b/crates/scripted-days/src/run.rs
@@ -50,7 +50,7 @@
     let records = shalewall_audit::read(out)?;
     let verdict = judge(&records, &rules);
     let migrations =
-        (plan.load.following_fraction > 0.0).then(|| review_migrations(&records, &rules));
+        (plan.load.migratable_fraction > 0.0).then(|| review_migrations(&records, &rules));
     let summary = Summary::new(
         &played.viewer_results,
         &verdict,
--- a/crates/scripted-days/tests/faulty_director.rs
+++ b/crates/scripted-days/tests/faulty_director.rs
@@ -7,7 +7,7 @@
 use shalewall_audit::{Record, Rule, judge};
 use shalewall_emulator::recorder::Recorder;
 use shalewall_http::Limits;
-use shalewall_http::client::{Call, Connection, Events, in_time};
+use shalewall_http::client::{Call, Connection, EventStream, with_timeout};
 use shalewall_http::pool::Pool;
 use shalewall_http::server::{Reply, Request, serve};
 use shalewall_scripted_days::{Emulation, endpoint, rules};
@@ -58,7 +58,7 @@
     let (target, host) = (format!("/sessions/{session}/{attempt}"), node.to_string());
     let call = Call::new("PUT", &target, &host).json(body.as_bytes());
     let timeout = Duration::from_millis(if abandon { 5 } else { 3000 });
-    let response = in_time(timeout, pool.call(&call)).await?.ok()?;
+    let response = with_timeout(timeout, pool.call(&call)).await?.ok()?;
     let response_body: Value = serde_json::from_slice(&response.body).ok()?;
     (response.head.status == 201).then(|| response_body["media"].as_str().map(str::to_string))?
 }
@@ -130,7 +130,7 @@
     let (_, incoming) = connection.stream(&call).await.unwrap();
     executor
         .spawn(async move {
-            let mut events = Events::new(incoming, 1 << 20);
+            let mut events = EventStream::new(incoming, 1 << 20);
             while events.next(Duration::from_secs(5)).await.is_some() {}
         })
         .detach();
