--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -19,13 +19,19 @@
 /// Entry of the endpoint list, in its wire format.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EndpointEntry {
+    /// Node id.
     pub server: u64,
+    /// Socket address.
     pub address: String,
+    /// Name of the zone.
     pub zone: String,
+    /// Name of the machine kind.
     pub kind: String,
+    /// Cell of the machine.
     pub cell: u64,
     /// `ready`, `draining` or `gone`.
     pub standing: &'static str,
+    /// Load balancing weight.
     pub weight: f64,
     /// Unix time of the node's last start in microseconds; absent if the node has been warm from its start.
     pub started: Option<i64>,
--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -194,6 +194,8 @@
 }
 
 impl Nodes {
+    /// Creates the nodes of a fleet model without starting any, and spawns the tasks that send notifications and record
+    /// loads.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         fleet: Fleet,
@@ -341,6 +343,7 @@
         running.map(|n| n.machine.id).collect()
     }
 
+    /// Machine of a node that was started at least once.
     pub fn machine(&self, node_id: u64) -> Option<Machine> {
         self.inner
             .borrow()
@@ -350,6 +353,7 @@
             .map(|n| n.machine.clone())
     }
 
+    /// Socket address of a node that was started at least once.
     pub fn address(&self, node_id: u64) -> Option<SocketAddr> {
         self.inner.borrow().servers.get(&node_id).map(|s| s.address)
     }
--- a/crates/emulator/src/recorder.rs
+++ b/crates/emulator/src/recorder.rs
@@ -16,6 +16,7 @@
 pub struct Recorder(Rc<RefCell<Target>>);
 
 impl Recorder {
+    /// Writes records to a file.
     pub fn file(path: &Path) -> std::io::Result<Recorder> {
         Ok(Recorder(Rc::new(RefCell::new(Target::File(
             Writer::create(path)?,
@@ -27,10 +28,12 @@
         Recorder(Rc::new(RefCell::new(Target::Disabled)))
     }
 
+    /// Keeps records in memory.
     pub fn memory() -> Recorder {
         Recorder(Rc::new(RefCell::new(Target::Memory(Vec::new()))))
     }
 
+    /// Adds a record. Panics if it cannot be written.
     pub fn record(&self, record: Record) {
         match &mut *self.0.borrow_mut() {
             // An incomplete recording proves nothing, so a failed write ends the run.
@@ -40,6 +43,7 @@
         }
     }
 
+    /// Writes buffered records to the file.
     pub fn flush(&self) -> std::io::Result<()> {
         match &mut *self.0.borrow_mut() {
             Target::File(writer) => writer.flush(),
--- a/crates/emulator/src/viewers.rs
+++ b/crates/emulator/src/viewers.rs
@@ -21,6 +21,7 @@
 /// Results of the viewers so far.
 #[derive(Clone, Debug, Default)]
 pub struct ViewerResults {
+    /// Totals over viewers.
     pub totals: TotalsByTenant,
     /// Response latencies by class, microseconds.
     pub latencies_us: BTreeMap<String, Vec<u64>>,
@@ -39,6 +40,7 @@
     /// Random number generators for arrivals: one for each tenant, or one for all viewers.
     arrival_rngs: Rc<RefCell<Vec<ChaCha8Rng>>>,
     request_count: Rc<Cell<u64>>,
+    /// Results so far.
     pub results: Rc<RefCell<ViewerResults>>,
     /// Factor of the usual arrival rate.
     rate_factor: Rc<Cell<f64>>,
@@ -143,6 +145,7 @@
         *self.surge.borrow_mut() = surge;
     }
 
+    /// Population from which viewers are drawn.
     pub fn population(&self) -> &ViewerPopulation {
         &self.population
     }
--- a/crates/test-harness/src/day.rs
+++ b/crates/test-harness/src/day.rs
@@ -32,11 +32,13 @@
     KillNode(usize),
     /// Starts a node's process again, and publishes its start time in the list.
     RestartNode(usize),
+    /// Changes the behavior of a node.
     SetNodeBehavior(usize, NodeBehavior),
     /// Sends SIGKILL to a director.
     KillDirector(usize),
     /// Sends SIGTERM to a director.
     StopDirector(usize),
+    /// Starts a director that was killed or stopped.
     StartDirector(usize),
     /// Starts or ends an outage of the journal service, in which it closes all connections.
     SetJournalOutage(bool),
@@ -50,10 +52,15 @@
 
 /// Plan of a day.
 pub struct Plan {
+    /// Number of directors.
     pub directors: u32,
+    /// Number of nodes.
     pub nodes: u32,
+    /// Time for which viewers send requests.
     pub seconds: u64,
+    /// Seed of all random numbers.
     pub seed: u64,
+    /// Fault of all directors.
     pub fault: Option<DirectorFault>,
     /// Events in order of time, each with its time in milliseconds from the start of the day.
     pub events: Vec<(u64, DayEvent)>,
@@ -61,11 +68,13 @@
 
 /// Result of a day.
 pub struct Outcome {
+    /// Verdict of the audit.
     pub verdict: Verdict,
     /// Violations of requirements beyond the rules of the verdict.
     pub violations: Vec<String>,
     /// Start of the day on the clock of the records, in microseconds.
     pub started_at: i64,
+    /// Number of requests of all viewers.
     pub requests: u64,
     /// Directors that were not running at the end, or did not exit in time after SIGTERM.
     pub failed_directors: Vec<u32>,
--- a/crates/test-harness/src/director.rs
+++ b/crates/test-harness/src/director.rs
@@ -34,8 +34,11 @@
             "ToldLate": 100.0, "StallCost": 7.0, "SwitchS": 0.25 } })
 }
 
+/// A director process, which can be restarted at the same port.
 pub struct Director {
+    /// Number of the director.
     pub number: u32,
+    /// Port on which it listens.
     pub port: u16,
     binary: PathBuf,
     dir: PathBuf,
@@ -45,6 +48,7 @@
 }
 
 impl Director {
+    /// Creates a director on a free port without starting its process.
     pub fn new(binary: &Path, dir: &Path, number: u32, recorder: Recorder) -> io::Result<Director> {
         let (binary, dir) = (binary.to_path_buf(), dir.to_path_buf());
         Ok(Director {
@@ -107,6 +111,7 @@
         Ok(())
     }
 
+    /// File with the director's standard error.
     pub fn log_path(&self) -> PathBuf {
         self.dir.join(format!("n{}.log", self.number))
     }
--- a/crates/test-harness/src/faulty_director.rs
+++ b/crates/test-harness/src/faulty_director.rs
@@ -150,6 +150,7 @@
 }
 
 impl FaultyDirector {
+    /// Creates the state of a fault's relays. `nodes` are the ports of the nodes.
     pub fn new(fault: DirectorFault, nodes: Vec<u16>) -> Arc<FaultyDirector> {
         Arc::new(FaultyDirector {
             fault,
@@ -159,6 +160,7 @@
         })
     }
 
+    /// Whether the relay to the journal service hides its silence.
     pub fn ignores_silent_journal(&self) -> bool {
         self.fault == DirectorFault::IgnoresSilentJournal
     }
@@ -176,6 +178,7 @@
         Ok(relay_port)
     }
 
+    /// Whether the director exits on SIGTERM without completing its requests.
     pub fn exits_immediately(&self) -> bool {
         self.fault == DirectorFault::ExitsImmediately
     }
--- a/crates/test-harness/src/journal.rs
+++ b/crates/test-harness/src/journal.rs
@@ -22,16 +22,20 @@
 /// An entry of the list.
 #[derive(Clone, Copy, Debug)]
 pub struct HostEntry {
+    /// Id of the node.
     pub node: u32,
+    /// Port of the node.
     pub port: u16,
     /// 0: ready, 1: draining, 2: gone.
     pub state: u8,
+    /// Cell of the node.
     pub cell: u16,
     /// Unix time in milliseconds of a start during the day, or 0.
     pub started: u64,
 }
 
 impl HostEntry {
+    /// The entry in the binary form of a frame.
     fn encode(&self) -> Vec<u8> {
         let mut bytes = self.node.to_be_bytes().to_vec();
         bytes.extend([127, 0, 0, 1]);
@@ -43,6 +47,7 @@
         bytes
     }
 
+    /// The entry in the JSON form of a director's configuration.
     pub fn json(&self) -> Value {
         let phase = ["ready", "draining", "gone"][usize::from(self.state.min(2))];
         json!({ "id": node_name(self.node), "host_port": format!("127.0.0.1:{}", self.port), "locality": "north",
@@ -66,12 +71,14 @@
 /// The service.
 pub struct Journal {
     inner: Arc<Inner>,
+    /// Port on which the service listens.
     pub port: u16,
     recorder: Recorder,
     directors: u32,
 }
 
 impl Journal {
+    /// Starts the service on a free port.
     pub fn start(recorder: Recorder, directors: u32) -> io::Result<Journal> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let port = listener.local_addr()?.port();
--- a/crates/test-harness/src/node.rs
+++ b/crates/test-harness/src/node.rs
@@ -27,6 +27,7 @@
 /// Behavior of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NodeBehavior {
+    /// Works without faults.
     #[default]
     Healthy,
     /// Responds to every second set-up with an error.
@@ -66,7 +67,9 @@
 
 /// A node, whose process can be stopped and started again at the same address.
 pub struct Node {
+    /// Id of the node.
     pub id: u32,
+    /// Port on which it listens.
     pub port: u16,
     recorder: Recorder,
     rng: Mutex<ChaCha8Rng>,
@@ -74,6 +77,7 @@
 }
 
 impl Node {
+    /// Creates a node on a free port and starts its process warm.
     pub fn start(id: u32, seed: u64, recorder: Recorder) -> io::Result<Arc<Node>> {
         let port = crate::free_port()?;
         let rng = Mutex::new(ChaCha8Rng::seed_from_u64(seed ^ u64::from(id)));
@@ -92,6 +96,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Changes the behavior from now on.
     pub fn set_behavior(&self, behavior: NodeBehavior) {
         self.lock().behavior = behavior;
     }
--- a/crates/test-harness/src/recorder.rs
+++ b/crates/test-harness/src/recorder.rs
@@ -30,8 +30,10 @@
     Requested,
 }
 
+/// Contents of a recording. Sessions are identified by their tags.
 #[derive(Default)]
 pub struct Inner {
+    /// Records for the audit, in order of arrival.
     pub records: Vec<Record>,
     /// Number of attempts of each session.
     pub attempts: BTreeMap<u64, u32>,
@@ -64,10 +66,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Adds a record.
     pub fn record(&self, record: Record) {
         self.lock().records.push(record);
     }
 
+    /// Adds a violation beyond the six rules.
     pub fn report_violation(&self, violation: String) {
         self.lock().violations.push(violation);
     }
@@ -88,6 +92,7 @@
         }
     }
 
+    /// Records the first end of a session.
     pub fn session_ended(&self, tag: u64, end: SessionEnd) {
         self.lock().ends.entry(tag).or_insert((now(), end));
     }
--- a/crates/test-harness/src/rtsp.rs
+++ b/crates/test-harness/src/rtsp.rs
@@ -1,14 +1,18 @@
 //! Parsing and encoding of the RTSP messages of media nodes.
 
-/// A message: its start line, its headers with names in lower case, and its body.
+/// An RTSP message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Message {
+    /// Request or status line.
     pub start_line: String,
+    /// Headers with names in lower case.
     pub headers: Vec<(String, String)>,
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// Value of the first header with a name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -16,10 +20,12 @@
             .map(|(_, v)| v.as_str())
     }
 
+    /// Tag of the session, from the `session` header.
     pub fn tag(&self) -> Option<u64> {
         u64::from_str_radix(self.header("session")?, 16).ok()
     }
 
+    /// Method of a request.
     pub fn method(&self) -> &str {
         self.start_line.split(' ').next().unwrap_or("")
     }
--- a/crates/test-harness/src/viewer.rs
+++ b/crates/test-harness/src/viewer.rs
@@ -35,6 +35,7 @@
     stop: Arc<AtomicBool>,
     /// Whether no new requests are sent, because the director is out of rotation.
     pub paused: Arc<AtomicBool>,
+    /// Number of requests so far.
     pub request_count: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
 }
@@ -74,6 +75,7 @@
 }
 
 impl Viewers {
+    /// Starts the viewers of a director, which connect to `port`.
     pub fn start(director: u32, port: u16, seed: u64, recorder: Recorder) -> Viewers {
         let inner = Arc::new(Mutex::new(Inner::default()));
         let (stop, paused) = (
@@ -125,6 +127,7 @@
         }
     }
 
+    /// Stops the viewers and waits for their thread.
     pub fn stop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
