--- a/crates/audit/src/judge.rs
+++ b/crates/audit/src/judge.rs
@@ -1,8 +1,8 @@
-//! Judges a recording by the six rules.
+//! Checks a recording against the six rules.
 //!
-//! [`judge`] passes each record, in order of time, to the modules that follow its subject: [`attempts`] keeps what
-//! nodes saw of each session, [`directors`] what each director could know. One module for each rule checks the
-//! record against them. Answers are matched with requests in a pass of their own ([`answers`]).
+//! [`judge`] passes each record, in order of time, to the modules that track its subject: [`attempts`] tracks the state
+//! of each session at the nodes, [`directors`] the information that each director has. One module for each rule checks
+//! the records against them. Responses are matched with requests in a separate pass ([`answers`]).
 
 mod answers;
 mod attempts;
@@ -23,11 +23,11 @@
 use shalewall::Timestamp;
 use slow_start::StartingNodes;
 
-/// Judges a recording; `records` in order of time.
+/// Checks a recording against the rules. `records` must be in order of time.
 pub fn judge(records: &[Record], rules: &Rules) -> Verdict {
     let mut judge = Judge {
         rules,
-        outages: Outages::of(records),
+        outages: Outages::from_records(records),
         verdict: Verdict::default(),
         attempts: Attempts::default(),
         directors: Directors::default(),
@@ -36,7 +36,7 @@
         retry_windows: RetryWindows::default(),
     };
     for record in records {
-        judge.take(record);
+        judge.process(record);
     }
     judge.check_answers(records);
     judge.verdict.findings.sort_by_key(|finding| finding.time);
@@ -54,7 +54,7 @@
     retry_windows: RetryWindows,
 }
 
-/// A node and a director that sends to it.
+/// A director, and a node to which it sends.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Route {
     director: u32,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A set-up, as its record has it.
+/// A set-up that arrived at a node.
 struct SetUp<'r> {
     time: Timestamp,
     route: Route,
@@ -79,29 +79,29 @@
 }
 
 impl Judge<'_> {
-    fn take(&mut self, record: &Record) {
+    fn process(&mut self, record: &Record) {
         let time = record.time();
         match record {
             Record::NodeStarted { .. } | Record::NodeStopped { .. } => {
-                self.take_node_change(time, record)
+                self.process_node_change(time, record)
             }
             Record::SetUpReceived { .. } | Record::SetUpFinished { .. } => {
-                self.take_set_up(time, record)
+                self.process_set_up(time, record)
             }
             Record::MigrationReceived { .. } | Record::MigrationReady { .. } => {
-                self.take_migration(time, record)
+                self.process_migration(time, record)
             }
             Record::PartialRequest { .. }
             | Record::RungChanged { .. }
-            | Record::SessionEnded { .. } => self.take_session_change(time, record),
+            | Record::SessionEnded { .. } => self.process_session_change(time, record),
             Record::EndpointNotified { .. }
             | Record::RequestSent { .. }
-            | Record::DirectorStarted { .. } => self.take_director_event(time, record),
+            | Record::DirectorStarted { .. } => self.process_director_event(time, record),
             _ => {}
         }
     }
 
-    fn take_node_change(&mut self, time: Timestamp, record: &Record) {
+    fn process_node_change(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::NodeStarted {
                 node, places, warm, ..
@@ -113,7 +113,7 @@
         }
     }
 
-    fn take_set_up(&mut self, time: Timestamp, record: &Record) {
+    fn process_set_up(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::SetUpReceived {
                 node,
@@ -147,7 +147,7 @@
         }
     }
 
-    fn take_migration(&mut self, time: Timestamp, record: &Record) {
+    fn process_migration(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::MigrationReceived {
                 node,
@@ -177,7 +177,7 @@
         }
     }
 
-    fn take_session_change(&mut self, time: Timestamp, record: &Record) {
+    fn process_session_change(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::PartialRequest {
                 session: Some(session),
@@ -200,7 +200,7 @@
         }
     }
 
-    fn take_director_event(&mut self, time: Timestamp, record: &Record) {
+    fn process_director_event(&mut self, time: Timestamp, record: &Record) {
         match record {
             Record::EndpointNotified {
                 director,
