--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -1,5 +1,4 @@
-//! One request answered from the store: the caller is authenticated, the operation found, the call limited and
-//! authorized, and then carried out.
+//! Answers requests from the store. A request is authenticated, routed, rate limited, authorized and then executed.
 
 use crate::error::ApiError;
 use crate::rate_limit::{CallCounter, seconds_to_next_minute};
@@ -15,12 +14,12 @@
 use shalewall_tenancy::usage::UsageTracker;
 use std::cell::RefCell;
 
-/// Calls a minute of a tenant's administrators, where its terms name no limit.
+/// Limit of calls per minute of a tenant's users if the tenant's terms give none.
 const DEFAULT_CALLS_PER_MINUTE: u32 = 600;
-/// So few calls a minute are not worth a look at the terms.
+/// Up to this number of calls per minute, the limit is not looked up in the store.
 const UNLIMITED_CALLS_PER_MINUTE: u32 = 10;
 
-/// The API's state: the store, and what is known of callers and directors since the process began.
+/// The API's state: the store, and in memory the directors' usage reports and the counts of calls.
 pub struct Api {
     /// The tenants, their histories and the tokens.
     pub store: Store,
@@ -31,31 +30,31 @@
 /// Random bytes for a new token.
 #[derive(Clone, Copy)]
 pub struct TokenSeed {
-    /// Of the token's id.
+    /// Bytes of the token's id.
     pub id: [u8; 8],
-    /// Of the token's secret.
+    /// Bytes of the token's secret.
     pub secret: [u8; 32],
 }
 
-/// Who calls.
+/// An authenticated caller.
 pub(crate) struct Caller {
     pub role: Role,
-    /// As the history names it.
+    /// The caller's name in histories.
     pub name: String,
 }
 
-/// A call that may be carried out.
+/// An authenticated request with the inputs for its execution.
 pub(crate) struct Call<'a> {
     pub request: &'a Request,
     pub caller: Caller,
-    /// The wall clock.
+    /// Time of the call.
     pub now: UnixMillis,
     pub seed: TokenSeed,
 }
 
 impl Api {
-    /// `now`: since when directors are heard; one that is silent for `director_expiry_ms` is taken for
-    /// gone, with its sessions.
+    /// Creates the API. Usage reports are received from `now` on. A director without reports for `director_expiry_ms`
+    /// counts as gone, along with its sessions.
     pub fn new(store: Store, now: UnixMillis, director_expiry_ms: u64) -> Api {
         Api {
             store,
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Answers a request. `now`: the wall clock; `seed`: fresh random bytes.
+    /// Answers a request. `now` is the current time, and `seed` provides fresh random bytes.
     pub fn answer(&self, request: &Request, now: UnixMillis, seed: TokenSeed) -> Reply {
         self.try_answer(request, now, seed).unwrap_or_else(|error| {
             if let ApiError::StoreFailed(cause) = &error {
@@ -101,7 +100,7 @@
                 self.serve_service(operation, id, &call)
             }
             Operation::Tenant(operation) => {
-                // No tenant can have such an id, so there is none.
+                // No tenant can have an invalid id.
                 let id = TenantId::try_from(id.to_string()).map_err(|_| ApiError::NotFound)?;
                 self.authorize(route, &call.caller, Some(&id))?;
                 self.serve_tenant(operation, &id, &call)
@@ -120,7 +119,7 @@
         Ok(Caller { role, name })
     }
 
-    /// Limits the calls of one tenant's administrators and readers, so that they can't keep the API from others.
+    /// Limits the calls of each tenant's administrators and readers, so that they can't overload the API for others.
     fn limit_calls(&self, caller: &Caller, now: UnixMillis) -> Result<(), ApiError> {
         let (Role::Admin(id) | Role::Reader(id)) = &caller.role else {
             return Ok(());
@@ -154,15 +153,15 @@
             Access::Granted => Ok(()),
             Access::Forbidden => Err(ApiError::Forbidden),
             Access::Hidden => {
-                // The same work as for a tenant that does not exist, so that the time of the answer tells nothing.
+                // Does the same work as for a tenant that does not exist, so that the response time reveals nothing.
                 let _ = tenant.map(|id| self.store.tenant(id));
                 Err(ApiError::NotFound)
             }
         }
     }
 
-    /// Removes deleted tenants of which no director holds a session any more, and returns how many; to be called
-    /// every second or so.
+    /// Completes the deletion of tenants without remaining sessions at any director. Returns their number. To be called
+    /// about every second.
     pub fn purge_deleted_tenants(&self, now: UnixMillis) -> Result<usize, StoreError> {
         let change_number = self.store.last_change_number()?;
         let mut after = None;
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Whether a tenant is being deleted and its last session is over, as of a change.
+    /// Whether a tenant is being deleted and all directors that have applied `change_number` report no session of it.
     fn has_ended(&self, tenant: &Tenant, change_number: u64, now: UnixMillis) -> bool {
         matches!(tenant.state, TenantState::Deleting { .. })
             && self
--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a request is refused, and the problem document (RFC 9457) that says so.
+//! Errors of the API and their problem documents (RFC 9457).
 
 use serde_json::{Map, json};
 use shalewall_http::server::Reply;
@@ -8,58 +8,58 @@
 use shalewall_tenancy::schema::ValidationError;
 use shalewall_tenancy::tenant::InvalidTenantId;
 
-/// How long a caller is to wait after the store has failed.
+/// `Retry-After` after a failure of the store.
 const STORE_RETRY_AFTER_S: u64 = 5;
 
-/// A refused request. `Display` is the problem document's detail.
+/// Why a request is rejected. `Display` is the problem document's detail, which is part of the published API.
 #[derive(Debug, thiserror::Error)]
 pub enum ApiError {
-    /// No token, or one that is unknown, wrong or revoked.
+    /// The token is missing, unknown, wrong or revoked.
     #[error("a bearer token is needed")]
     Unauthenticated,
-    /// The caller's role does not allow it.
+    /// The caller's role does not allow the operation.
     #[error("not for this role")]
     Forbidden,
-    /// There is no such path, tenant or token, or the caller may not know of it.
+    /// The path, tenant or token does not exist, or the caller may not know of it.
     #[error("there is no such thing here")]
     NotFound,
-    /// The path has other methods.
+    /// The path does not support the method.
     #[error("not this method")]
     MethodNotAllowed {
-        /// The methods of the path.
+        /// The methods that the path supports.
         allowed: Vec<&'static str>,
     },
-    /// The tenant's callers have used up their calls of this minute.
+    /// The tenant's users have exceeded their limit of calls per minute.
     #[error("more calls a minute than agreed")]
     TooManyCalls {
         /// Seconds until the next minute begins.
         retry_after_s: u64,
     },
-    /// A query parameter is no number.
+    /// A query parameter is not a number.
     #[error("{name} has to be a number")]
     QueryNotANumber {
         /// The parameter.
         name: &'static str,
     },
-    /// The query's `after` is no tenant's id.
+    /// The query parameter `after` is not a valid tenant id.
     #[error("after {0}")]
     InvalidAfter(#[source] InvalidTenantId),
     /// The content is not JSON.
     #[error("the content is not JSON: {0}")]
     MalformedJson(#[source] serde_json::Error),
-    /// The content is JSON, but not of this operation.
+    /// The content is JSON, but does not match the operation's type.
     #[error("{expected}: {error}")]
     InvalidContent {
         /// The members that the operation takes.
         expected: &'static str,
-        /// What the parser says.
+        /// The parser's error.
         #[source]
         error: serde_json::Error,
     },
-    /// A patch of another media type than a merge patch.
+    /// The media type of a patch is not that of a merge patch.
     #[error("has to be application/merge-patch+json")]
     UnsupportedMediaType,
-    /// An idempotency key that is empty or too long.
+    /// The idempotency key is empty or too long.
     #[error(
         "an idempotency key takes 1 to {} bytes",
         crate::request::MAX_IDEMPOTENCY_KEY_BYTES
@@ -68,37 +68,37 @@
     /// The idempotency key was used for another request.
     #[error("the idempotency key was used for another request")]
     IdempotencyKeyReused,
-    /// A token's role is none, or does not go with a tenant.
+    /// A token's role is unknown, or its tenant is missing, unexpected or invalid.
     #[error("{0}")]
     InvalidRole(#[source] RoleError),
-    /// More directors report usage than are kept account of.
+    /// A usage report from a new director would exceed the limit of directors.
     #[error("there are too many fronts")]
     TooManyDirectors,
-    /// A tenant's terms, or its id, break the published schema.
+    /// A tenant's terms or id are invalid.
     #[error("the terms are not in order")]
     InvalidTerms(Vec<ValidationError>),
-    /// The id of a new tenant is in use, or not free yet.
+    /// The id of a new tenant is in use, possibly by a tenant that is still being deleted.
     #[error("the id is in use, or what was called so has not ended yet")]
     IdInUse,
-    /// A change named no revision.
+    /// A change has no `If-Match` field.
     #[error("name the revision that the change is for in If-Match")]
     RevisionRequired,
-    /// A change named a revision that is not the tenant's.
+    /// A change's `If-Match` field does not match the tenant's revision.
     #[error("another change came first; read it again")]
     StaleRevision {
-        /// The tenant's revision.
+        /// The tenant's current revision.
         current: u64,
     },
     /// The tenant's state does not allow the change.
     #[error("the tenant {0}")]
     StateConflict(#[source] StateConflict),
-    /// A tenant's administrator may not change these fields.
+    /// A tenant's administrator may not change fields that are agreed with the operator.
     #[error("agreed with the operators, and theirs to change: {}", join(.fields))]
     OperatorFields {
-        /// The fields that would change.
+        /// The agreed fields that the change affects.
         fields: Vec<AgreementField>,
     },
-    /// The store failed. What is wrong with it is for the operators' log, not for callers.
+    /// The store failed. The cause goes to the log and is not shown to callers.
     #[error("the store can't do this now; nothing was changed")]
     StoreFailed(#[source] StoreError),
 }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The header field that goes with the status, where there is one.
+    /// The header field that belongs to the status, if there is one.
     fn header(&self) -> Option<(&'static str, String)> {
         match self {
             ApiError::Unauthenticated => Some(("WWW-Authenticate", "Bearer".to_string())),
@@ -148,7 +148,7 @@
     }
 }
 
-/// The entity tag of a tenant's revision.
+/// Formats a tenant's revision as an entity tag.
 pub(crate) fn entity_tag(revision: u64) -> String {
     format!("\"{revision}\"")
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,13 +1,12 @@
 //! The administration API: tenants, their histories, usage and tokens over HTTP.
 //!
-//! [`routes`] is the table of operations. Requests are found by it and the OpenAPI document ([`openapi`]) is made
-//! from it, so the two can't differ. [`api`] answers one request from the store, without sockets and without a
-//! clock; its operations are in `service_operations` and `tenant_operations`, what it reads of a request in
-//! `request`, and what it refuses in [`error`]. [`serve`] puts it on a socket. [`tokens`]
-//! issues tokens without the API.
+//! [`routes`] is the table of operations. Both request routing and the OpenAPI document ([`openapi`]) use it, so they
+//! can't differ. [`api`] answers one request from the store, without sockets or a clock. Its operations are in
+//! `service_operations` and `tenant_operations`, request parsing is in `request`, and the errors are in [`error`].
+//! [`serve`] runs it on a socket. [`tokens`] issues tokens without the API.
 //!
-//! This crate knows HTTP messages, the store and roles. It knows nothing of sessions and nodes, and does not decide
-//! what a change does to a tenant: [`shalewall_tenancy`] does.
+//! This crate handles HTTP messages, the store and roles. It knows nothing of sessions and nodes; the effect of a
+//! change on a tenant is defined in [`shalewall_tenancy`].
 
 #![deny(missing_docs)]
 
--- a/crates/admin/src/openapi.rs
+++ b/crates/admin/src/openapi.rs
@@ -1,11 +1,11 @@
-//! The OpenAPI 3.1 document, made from the table of operations.
+//! The OpenAPI 3.1 document, generated from the table of operations.
 
 use crate::routes::{COMMON_STATUSES, Operation, ROUTES, Route, ServiceOperation, TenantOperation};
 use serde_json::{Map, Value, json};
 use shalewall_http::head::reason_phrase;
 use shalewall_tenancy::schema::terms_schema;
 
-/// The document as it is published.
+/// The published document.
 pub fn document() -> Value {
     let mut paths: Map<String, Value> = Map::new();
     for route in &ROUTES {
--- a/crates/admin/src/rate_limit.rs
+++ b/crates/admin/src/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Calls of each tenant's administrators in the present minute, for their limits.
+//! Counts the calls of each tenant's users in the current minute, for rate limiting.
 
 use shalewall_tenancy::UnixMillis;
 use shalewall_tenancy::tenant::TenantId;
@@ -20,7 +20,7 @@
 }
 
 impl CallCounter {
-    /// Counts a call, and returns the tenant's calls in this minute with it.
+    /// Counts a call. Returns the number of the tenant's calls in this minute, including this one.
     pub fn count(&mut self, tenant: &TenantId, now: UnixMillis) -> u32 {
         let minute = now / MILLIS_PER_SECOND / SECONDS_PER_MINUTE;
         self.windows.retain(|_, window| window.minute == minute);
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,4 +1,4 @@
-//! What the operations read of a request: the token, the revision that a change is for, numbers and contents.
+//! Parsing of requests: the bearer token, preconditions, query parameters and content.
 
 use crate::error::ApiError;
 use serde::de::DeserializeOwned;
@@ -6,16 +6,16 @@
 use shalewall_http::server::Request;
 use shalewall_tenancy::change::Precondition;
 
-/// Rows of a page where the query names no limit.
+/// Rows of a page if the query gives no limit.
 const DEFAULT_PAGE_ROWS: u64 = 100;
-/// Rows of a page at most.
+/// Maximum number of rows of a page.
 pub(crate) const MAX_PAGE_ROWS: usize = 1000;
-/// Bytes of an idempotency key at most.
+/// Maximum size of an idempotency key.
 pub(crate) const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 /// The media type of a merge patch (RFC 7396).
 const MERGE_PATCH: &str = "application/merge-patch+json";
 
-/// The text of the bearer token; empty where there is none.
+/// The bearer token, or an empty string if there is none.
 pub(crate) fn bearer_token(request: &Request) -> &str {
     let text = request.head.fields.get("authorization").unwrap_or_default();
     let token = text
@@ -24,7 +24,7 @@
     token.unwrap_or_default().trim()
 }
 
-/// `If-Match`: `*`, or entity tags of tenants' revisions. Weak tags never match (RFC 9110, section 13.1.1).
+/// Parses `If-Match`: `*`, or entity tags of a tenant's revisions. Weak tags never match (RFC 9110, section 13.1.1).
 pub(crate) fn if_match(request: &Request) -> Precondition {
     let mut revisions = Vec::new();
     let mut is_present = false;
@@ -50,7 +50,7 @@
     revision.parse().ok()
 }
 
-/// The caller's idempotency key, if there is one.
+/// The caller's idempotency key, if it sent one.
 pub(crate) fn idempotency_key(request: &Request) -> Result<Option<&str>, ApiError> {
     let key = request.head.fields.get("idempotency-key");
     if key.is_some_and(|key| key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES) {
@@ -59,7 +59,7 @@
     Ok(key)
 }
 
-/// A number of the query, or its default.
+/// A number in the query, or its default.
 pub(crate) fn query_number(
     request: &Request,
     name: &'static str,
@@ -71,18 +71,18 @@
     text.parse().map_err(|_| ApiError::QueryNotANumber { name })
 }
 
-/// Rows of the page that is asked for.
+/// Number of rows of the requested page.
 pub(crate) fn page_rows(request: &Request) -> Result<usize, ApiError> {
     let rows = query_number(request, "limit", DEFAULT_PAGE_ROWS)?;
     Ok((rows as usize).clamp(1, MAX_PAGE_ROWS))
 }
 
-/// The content as JSON.
+/// Parses the content as JSON.
 pub(crate) fn json(request: &Request) -> Result<Value, ApiError> {
     serde_json::from_slice(&request.body).map_err(ApiError::MalformedJson)
 }
 
-/// The content as an operation's type; `expected` names its members.
+/// Parses the content as an operation's type. `expected` names its members.
 pub(crate) fn content<T: DeserializeOwned>(
     request: &Request,
     expected: &'static str,
@@ -91,7 +91,7 @@
         .map_err(|error| ApiError::InvalidContent { expected, error })
 }
 
-/// The content as a merge patch.
+/// Parses the content as a merge patch.
 pub(crate) fn merge_patch(request: &Request) -> Result<Value, ApiError> {
     let media_type = request.head.fields.get("content-type").unwrap_or_default();
     if !media_type.starts_with(MERGE_PATCH) {
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -1,64 +1,64 @@
-//! The table of operations, and how a request finds its operation.
+//! The table of operations, and the routing of requests.
 
 use shalewall_tenancy::access::Permission;
 
 /// An operation on the service as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceOperation {
-    /// The API's OpenAPI document.
+    /// Reads the API's OpenAPI document.
     OpenApi,
-    /// The JSON Schema of a tenant's terms.
+    /// Reads the JSON Schema of a tenant's terms.
     TermsSchema,
-    /// Tenants in pages.
+    /// Lists tenants in pages.
     ListTenants,
-    /// A new tenant.
+    /// Creates a tenant.
     CreateTenant,
-    /// A director reports its sessions.
+    /// Receives a director's usage report.
     ReportUsage,
-    /// Tenants that have changed after a change number.
+    /// Reads the tenants that have changed after a change number.
     Changes,
-    /// Tokens without their secrets.
+    /// Lists tokens without their secrets.
     ListTokens,
-    /// A new token.
+    /// Creates a token.
     CreateToken,
-    /// The end of a token.
+    /// Revokes a token.
     RevokeToken,
 }
 
 /// An operation on one tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TenantOperation {
-    /// The tenant as it is.
+    /// Reads the tenant.
     Read,
-    /// Other terms in place of its own.
+    /// Replaces its terms.
     Replace,
-    /// A merge patch of its terms.
+    /// Applies a merge patch to its terms.
     Patch,
-    /// No new sessions; the tenant is removed when the last one is over.
+    /// Deletes the tenant: no new sessions; the tenant is removed after its last session has ended.
     Delete,
-    /// No new sessions.
+    /// Suspends the tenant: no new sessions.
     Suspend,
-    /// New sessions again.
+    /// Resumes a suspended tenant.
     Resume,
-    /// Its changes.
+    /// Reads its changes.
     History,
-    /// How many sessions directors hold of it.
+    /// Reads its number of sessions by director.
     Usage,
-    /// Its sessions, as directors report them.
+    /// Reads its sessions by director.
     Sessions,
 }
 
-/// What a request is for.
+/// An operation of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// On the service as a whole.
+    /// An operation on the service as a whole.
     Service(ServiceOperation),
-    /// On the tenant that the path names.
+    /// An operation on the tenant in the path.
     Tenant(TenantOperation),
 }
 
 impl Operation {
-    /// Whether every role may call it: it shows what the API is, and nothing of a tenant.
+    /// Whether every role may call it, because its answer describes only the API and contains no tenant's data.
     pub fn is_public(self) -> bool {
         matches!(
             self,
@@ -67,32 +67,32 @@
     }
 }
 
-/// A row of the table.
+/// A row of the table of operations.
 #[derive(Debug)]
 pub struct Route {
-    /// What it does.
+    /// The operation.
     pub operation: Operation,
-    /// Its name in the published document. Clients are generated from it, so it stays as it is.
+    /// The operation's name in the published document. It must not change, because clients are generated from it.
     pub operation_id: &'static str,
     /// The HTTP method.
     pub method: &'static str,
-    /// The path; `{}` stands for an id.
+    /// The path, with `{}` as the placeholder for an id.
     pub path: &'static str,
-    /// What a role has to be allowed.
+    /// The permission that the caller's role needs.
     pub permission: Permission,
-    /// The statuses of its answers, beside [`COMMON_STATUSES`].
+    /// The statuses of its answers, in addition to [`COMMON_STATUSES`].
     pub statuses: &'static [u16],
-    /// One line for the published document.
+    /// The summary in the published document.
     pub summary: &'static str,
 }
 
-/// Statuses that any operation may answer with: unknown caller, not allowed, not there, another method, too many
-/// calls, a store that fails.
+/// Statuses of every operation: unauthenticated, forbidden, not found, method not allowed, rate limited, and store
+/// failure.
 pub const COMMON_STATUSES: [u16; 6] = [401, 403, 404, 405, 429, 503];
 
 const TENANT: &str = "/tenants/{}";
 
-/// All operations. Those that change a tenant take `If-Match`: 428 without it, 412 where it is stale.
+/// All operations. Those that change a tenant require `If-Match`: status 428 without it, 412 if the revision is stale.
 pub const ROUTES: [Route; 18] = [
     Route {
         operation: Operation::Service(ServiceOperation::OpenApi),
@@ -258,17 +258,17 @@
     },
 ];
 
-/// Where a request leads.
+/// The result of routing a request.
 #[derive(Debug)]
 pub enum Resolution<'path> {
-    /// To an operation.
+    /// The operation was found.
     Found {
-        /// Its row.
+        /// The operation's row in the table.
         route: &'static Route,
-        /// The id as it stands in the path (ids need no escapes); empty where the path takes none.
+        /// The id in the path, or empty if the path has none. Ids contain no characters that need escaping.
         id: &'path str,
     },
-    /// The path is known, for these methods.
+    /// The path exists for these other methods.
     OtherMethods(Vec<&'static str>),
     /// There is no such path.
     UnknownPath,
@@ -289,7 +289,8 @@
     }
 }
 
-/// The id that a path has in a pattern's place for it, empty where the pattern has none; none: it does not match.
+/// Matches a path with a pattern. Returns the id at the pattern's placeholder (empty if it has none), or `None` if the
+/// path does not match.
 fn match_path<'path>(pattern: &str, path: &'path str) -> Option<&'path str> {
     let Some((before, after)) = pattern.split_once("{}") else {
         return (pattern == path).then_some("");
--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -1,4 +1,4 @@
-//! The API on a socket of its own: connections, calls that wait for changes, and the removal of deleted tenants.
+//! Serves the API on a socket: connections, long polling for changes, and the purge of deleted tenants.
 
 use crate::api::{Api, TokenSeed};
 use async_executor::LocalExecutor;
@@ -14,25 +14,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Connections at once; further ones are closed as they come.
+/// Maximum number of open connections. Further ones are closed immediately.
 const MAX_CONNECTIONS: usize = 1024;
-/// How long a call waits for changes at most.
+/// Maximum duration of a long poll for changes.
 const MAX_WAIT_FOR_CHANGES: Duration = Duration::from_secs(30);
-/// How often deleted tenants are looked at.
+/// Interval of the purge of deleted tenants.
 const PURGE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long no connection is accepted after one could not be.
+/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// A document with a hundred thousand titles is some 6 MB.
+/// Maximum size of a request's content. Terms with 100,000 titles take about 6 MB.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// The wall clock, milliseconds since 1970.
+/// The current time in milliseconds since 1970.
 pub fn unix_time_millis() -> UnixMillis {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as UnixMillis)
 }
 
-/// Listens, and answers for as long as the executor runs. Returns the address that it listens on.
+/// Starts the server on an executor. Returns the address that it listens on.
 pub fn start_server(
     executor: &Rc<LocalExecutor<'static>>,
     listen: SocketAddr,
@@ -60,9 +60,9 @@
 
 struct Server {
     api: Rc<Api>,
-    /// Wakes the calls that wait for changes.
+    /// Wakes long polls for changes.
     tenants_changed: Event,
-    /// How many are open.
+    /// Number of open connections.
     connections: Cell<usize>,
     limits: Limits,
 }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Answers a request, logs it, and wakes the calls that wait for changes if it may have made one.
+/// Answers a request and logs it. Wakes long polls if the request may have changed a tenant.
 async fn answer(server: Rc<Server>, request: Request) -> Reply {
     let reply = answer_or_wait(&server, &request).await;
     let method = &request.head.method;
@@ -125,7 +125,7 @@
     reply
 }
 
-/// A call for changes that names `wait_ms` is answered once there are some, or when that time is over.
+/// Answers a request. A request for changes with `wait_ms` is held until there are changes or the time has passed.
 async fn answer_or_wait(server: &Server, request: &Request) -> Reply {
     let wait = Duration::from_millis(query_number_or_zero(request, "wait_ms"));
     let deadline = Instant::now() + wait.min(MAX_WAIT_FOR_CHANGES);
@@ -148,7 +148,7 @@
     }
 }
 
-/// A number of the query; what is none counts as 0, and is refused by the operation where it matters.
+/// A number in the query, or 0 if it is missing or invalid. The operation itself rejects an invalid number.
 fn query_number_or_zero(request: &Request, name: &str) -> u64 {
     let text = request.head.query(name);
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
--- a/crates/admin/src/service_operations.rs
+++ b/crates/admin/src/service_operations.rs
@@ -1,5 +1,4 @@
-//! Operations on the service as a whole: the directory of tenants, the order of changes, directors' reports and
-//! tokens.
+//! Operations on the service as a whole: the list of tenants, the feed of changes, directors' usage reports and tokens.
 
 use crate::api::{Api, Call};
 use crate::error::ApiError;
@@ -18,14 +17,14 @@
 use shalewall_tenancy::token::{IssuedToken, Token};
 use shalewall_tenancy::usage::{TooManyDirectors, UsageReport};
 
-/// Content of a request for a new tenant.
+/// Content of a request to create a tenant.
 #[derive(Deserialize)]
 struct NewTenant {
     id: String,
     terms: Value,
 }
 
-/// Content of a request for a new token.
+/// Content of a request to create a token.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 struct NewToken {
@@ -38,7 +37,7 @@
 }
 
 impl Api {
-    /// `id`: of the path, for the operation that takes one.
+    /// Executes an operation. `id` is the id in the path, or empty if the path has none.
     pub(crate) fn serve_service(
         &self,
         operation: ServiceOperation,
@@ -79,7 +78,7 @@
                 detail: error.to_string(),
             }])
         })?;
-        // Keys are each caller's own.
+        // The key is prefixed with the caller's name, so that callers can't use each other's keys.
         let key = idempotency_key(call.request)?.map(|key| format!("{} {key}", call.caller.name));
         let request = new.terms.to_string();
         let key = key.as_deref().map(|key| IdempotencyKey {
@@ -126,7 +125,7 @@
         ok(json!({ "tokens": tokens }))
     }
 
-    /// The only answer that shows a token's text.
+    /// Creates a token. Only this answer contains the token's text.
     fn create_token(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
         let new: NewToken = content(call.request, "role and tenant")?;
         let role = Role::from_name(&new.role, new.tenant).map_err(ApiError::InvalidRole)?;
--- a/crates/admin/src/tenant_operations.rs
+++ b/crates/admin/src/tenant_operations.rs
@@ -10,10 +10,10 @@
 use shalewall_tenancy::change::{Change, ChangeContext};
 use shalewall_tenancy::tenant::{Tenant, TenantId, TenantState};
 
-/// When a caller is to ask again for sessions that directors have not reported yet, seconds.
+/// `Retry-After` in seconds while directors have not reported the requested sessions yet.
 const SESSIONS_RETRY_AFTER_S: &str = "2";
 
-/// A tenant, with the entity tag that the next change has to name.
+/// A tenant, with the entity tag for `If-Match` of the next change.
 pub(crate) fn tenant_reply(status: u16, tenant: &Tenant) -> Reply {
     Reply::json(status, json!(tenant).to_string()).with_field("ETag", entity_tag(tenant.revision))
 }
@@ -45,7 +45,7 @@
         self.store.tenant(id)?.ok_or(ApiError::NotFound)
     }
 
-    /// One that is gone is not there, though operators may read its history still.
+    /// Answers 404 for a deleted tenant, although its history is still available.
     fn read_tenant(&self, id: &TenantId) -> Result<Reply, ApiError> {
         let tenant = self.existing_tenant(id)?;
         match tenant.state {
@@ -77,7 +77,8 @@
         Ok(Reply::json(200, content.to_string()))
     }
 
-    /// Directors report sessions only after they were asked for; until all have, the caller is to come again.
+    /// Directors report a tenant's sessions only on request. Until all directors have done so, the answer has a
+    /// `Retry-After` field.
     fn read_sessions(&self, id: &TenantId, call: &Call<'_>) -> Result<Reply, ApiError> {
         let tenant = self.existing_tenant(id)?;
         let directors = self.usage.borrow_mut().sessions_by_director(call.now, id);
--- a/crates/admin/src/tokens.rs
+++ b/crates/admin/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens issued outside the API: the first one of a store, and those of a service that is set up by a program.
+//! Issues tokens without the API: the first token of a store, or tokens for a service that a program sets up.
 
 use crate::serve::unix_time_millis;
 use rand::RngExt;
@@ -6,8 +6,8 @@
 use shalewall_tenancy::access::Role;
 use shalewall_tenancy::token::Token;
 
-/// Draws a token for a role and puts it into the store. Returns the text that its holder has to show; the store keeps
-/// no more than its digest, so it can't be read again.
+/// Generates a token for a role and stores it. Returns the bearer token's text. The store keeps only its digest, so the
+/// text can't be retrieved later.
 pub fn issue_token(store: &Store, role: Role) -> Result<String, StoreError> {
     let issued = Token::issue(
         role,
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,10 +1,10 @@
-//! The arguments of the program. Doc comments here are the text of `--help`.
+//! Command-line arguments. The doc comments are the text of `--help`.
 
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A session front: places and shapes video sessions on streaming servers with shared links.
+/// A session director: places video sessions on media nodes with shared links and chooses their rungs.
 #[derive(Parser)]
 #[command(name = "shalewall", version, about)]
 pub struct Cli {
@@ -14,32 +14,32 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run one front.
+    /// Run one director.
     Serve {
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// Only read and check the file.
+        /// Only read and validate the file.
         #[arg(long)]
         check: bool,
-        /// End with the process that started it, however that ends: days start their directors so.
+        /// Exit when the parent process ends. Scripted days start their directors with it.
         #[arg(long, hide = true)]
         with_parent: bool,
     },
-    /// Serve as a director on the platform, by its configuration file. Nothing else of the program is started: no
-    /// HTTP front, no administration API, no store, no other listener.
+    /// Run a director on the platform, with the platform's configuration file. Starts nothing else: no HTTP service,
+    /// no administration API, no store and no other listener.
     Direct {
         #[arg(long, value_name = "FILE", env = "ROUTER_CONFIG")]
         config: PathBuf,
     },
-    /// Run the stand-ins of a day alone: media nodes and the list of servers.
+    /// Run only the emulated media nodes and the endpoint list of a day.
     Nodes {
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// Only read and check the file.
+        /// Only read and validate the file.
         #[arg(long)]
         check: bool,
     },
-    /// Scripted days.
+    /// Run or import scripted days.
     Day {
         #[command(subcommand)]
         command: DayCommand,
@@ -48,62 +48,62 @@
     Admin {
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// Only read and check the file.
+        /// Only read and validate the file.
         #[arg(long)]
         check: bool,
     },
-    /// The store of a hosted service, while the API does not run.
+    /// Work on the store of a hosted service while the API is not running.
     Store {
         #[command(subcommand)]
         command: StoreCommand,
     },
-    /// Tenants, over the administration API.
+    /// Manage tenants over the administration API.
     Tenant {
         #[command(flatten)]
         api: ApiAccess,
         #[command(subcommand)]
         command: TenantCommand,
     },
-    /// Judge the recordings of a day again. Exit 0: all rules held; 1: one broke; 2: bad input.
+    /// Audit the recordings of a day. Exit code 0: all rules hold; 1: a rule is broken; 2: invalid input.
     Audit { dir: PathBuf },
 }
 
 #[derive(Subcommand)]
 pub enum DayCommand {
-    /// Run a day on loopback sockets. Exit 0: all rules held; 1: one broke; 2: bad input.
+    /// Run a day on loopback sockets. Exit code 0: all rules hold; 1: a rule is broken; 2: invalid input.
     Run {
         file: PathBuf,
-        /// Where recordings, logs and the summary go.
+        /// Directory for recordings, logs and the summary.
         #[arg(long, value_name = "DIR", default_value = "target/day")]
         out: PathBuf,
-        /// Only read and check the file.
+        /// Only read and validate the file.
         #[arg(long)]
         check: bool,
     },
-    /// Turn a day file of the bench into a script, on standard output. What has no counterpart is listed, on
+    /// Convert a day file of the bench to a script on standard output. Settings without a counterpart are listed on
     /// standard error and at the head of the script.
     Import { file: PathBuf },
 }
 
 #[derive(Subcommand)]
 pub enum StoreCommand {
-    /// Read everything, and compare every tenant with its history.
+    /// Read the whole store and compare every tenant with its history.
     Check { file: PathBuf },
-    /// Write everything as JSON lines to standard output.
+    /// Export the store as JSON lines to standard output.
     Export { file: PathBuf },
-    /// Fill an empty store from an export on standard input.
+    /// Import an export from standard input into an empty store.
     Import { file: PathBuf },
-    /// Make a token while the API does not run: the first one. Shown once.
+    /// Create a token without the API, such as the first one. It is shown only once.
     Token {
         file: PathBuf,
         /// `operator`, `front`, `admin` or `reader`.
         role: String,
-        /// Whose, for the latter two.
+        /// The tenant of an `admin` or `reader`.
         tenant: Option<String>,
     },
 }
 
-/// How the API is reached.
+/// Address and credentials of the administration API.
 #[derive(Args)]
 pub struct ApiAccess {
     #[arg(long, value_name = "ADDRESS")]
@@ -121,14 +121,14 @@
     History {
         id: String,
     },
-    /// Terms as JSON on standard input.
+    /// Create a tenant with the terms (JSON) on standard input.
     Create {
         id: String,
     },
-    /// A merge patch as JSON on standard input.
+    /// Apply the merge patch (JSON) on standard input to the terms.
     Patch {
         id: String,
-        /// The revision that it is meant for.
+        /// The tenant's current revision; the change fails at any other one.
         #[arg(long)]
         at: u64,
     },
@@ -142,7 +142,7 @@
         #[arg(long)]
         at: u64,
     },
-    /// Nothing new from now on; what plays ends by itself, or when its time is over.
+    /// Delete a tenant. It gets no new sessions, and its playing sessions end by themselves or at the deadline.
     Delete {
         id: String,
         #[arg(long)]
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the program does, a module for each group of commands.
+//! The commands, with a module for each group.
 
 pub mod admin;
 pub mod days;
@@ -16,7 +16,7 @@
     shalewall_settings::read(file).map_err(CliError::Settings)
 }
 
-/// Structured logs, a JSON object a line, on standard error. `RUST_LOG` sets the level.
+/// Starts structured logging to standard error, with one JSON object per line. `RUST_LOG` sets the level.
 fn start_logs() {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into());
     tracing_subscriber::fmt()
--- a/crates/cli/src/commands/admin.rs
+++ b/crates/cli/src/commands/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API of a hosted service.
+//! The command that serves the administration API of a hosted service.
 
 use super::{read_settings, start_logs};
 use crate::error::CliError;
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Serves the API for as long as the process runs.
+/// Serves the API until the process is killed.
 pub fn serve(config: &Path, check: bool) -> Result<(), CliError> {
     let plan: AdminConfig = read_settings(config)?;
     if check {
--- a/crates/cli/src/commands/days.rs
+++ b/crates/cli/src/commands/days.rs
@@ -1,4 +1,4 @@
-//! Scripted days: run, imported and judged again, and their emulated nodes alone.
+//! Commands that run, import and audit scripted days, or run only their emulated nodes.
 
 use super::{read_settings, start_logs};
 use crate::Outcome;
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Runs a day, and prints its summary.
+/// Runs a day and prints its summary.
 pub fn run(file: &Path, out: &Path, check: bool) -> Result<Outcome, CliError> {
     let plan: DayPlan = read_settings(file)?;
     if check {
@@ -27,7 +27,7 @@
     Ok(outcome(summary.rules_hold))
 }
 
-/// Prints a day file of the bench as a script; what has no counterpart goes to standard error.
+/// Converts a day file of the bench to a script and prints it. Lists settings without a counterpart on standard error.
 pub fn import(file: &Path) -> Result<(), CliError> {
     let text = std::fs::read_to_string(file).map_err(CliError::of_file(file))?;
     let imported = scripted_days::import(&text).map_err(|error| CliError::Import {
@@ -41,14 +41,14 @@
     Ok(())
 }
 
-/// Judges the recordings of a day again.
+/// Audits the recordings of a day.
 pub fn audit(dir: &Path) -> Result<Outcome, CliError> {
     let verdict = scripted_days::audit(dir)?;
     println!("{verdict}");
     Ok(outcome(verdict.holds()))
 }
 
-/// Runs the emulated nodes and endpoint list of a day, for as long as the process runs.
+/// Runs the emulated nodes and endpoint list of a day until the process is killed.
 pub fn run_nodes(config: &Path, check: bool) -> Result<(), CliError> {
     let plan: DayPlan = read_settings(config)?;
     if check {
--- a/crates/cli/src/commands/service.rs
+++ b/crates/cli/src/commands/service.rs
@@ -1,4 +1,4 @@
-//! Directors: of the service over HTTP, and on the platform.
+//! Commands that run a director, either of the HTTP service or on the platform.
 
 use super::{read_settings, start_logs};
 use crate::error::CliError;
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Runs one director of the service until it is told to end.
+/// Runs one director of the HTTP service until it receives a termination signal.
 pub fn serve(config: &Path, check: bool, with_parent: bool) -> Result<(), CliError> {
     if with_parent {
         set_parent_process_death_signal(Some(Signal::KILL)).map_err(io::Error::from)?;
@@ -26,7 +26,7 @@
     Ok(())
 }
 
-/// Runs a director on the platform until it is told to end.
+/// Runs a director on the platform until it receives a termination signal.
 pub fn direct(config: &Path) -> Result<(), CliError> {
     start_logs();
     shalewall_platform::run(config)?;
--- a/crates/cli/src/commands/store.rs
+++ b/crates/cli/src/commands/store.rs
@@ -1,4 +1,4 @@
-//! The store of a hosted service, while the API does not run.
+//! Commands on the store of a hosted service, for use while the API is not running.
 
 use crate::args::StoreCommand;
 use crate::error::CliError;
@@ -8,7 +8,7 @@
 use std::io::{BufReader, BufWriter, Write, stdin, stdout};
 use std::path::Path;
 
-/// Carries out one command.
+/// Executes one command.
 pub fn run(command: StoreCommand) -> Result<(), CliError> {
     match command {
         StoreCommand::Check { file } => {
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// A store that is there: a mistyped name is not to make an empty one.
+/// Opens an existing store. A missing file is an error, so that a mistyped name does not create an empty store.
 fn open_existing(file: &Path) -> Result<Store, CliError> {
     let file_name = file.to_path_buf();
     if !file.is_file() {
--- a/crates/cli/src/commands/tenant.rs
+++ b/crates/cli/src/commands/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants of a hosted service, over its administration API.
+//! Commands that manage the tenants of a hosted service over its administration API.
 
 use crate::args::{ApiAccess, TenantCommand};
 use crate::error::CliError;
@@ -9,12 +9,12 @@
 use std::io::{Read, stdin};
 use std::time::Duration;
 
-/// What a call may take.
+/// Timeout of a call to the API.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of an answer at most.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Carries out one command, and prints what the API answers.
+/// Executes one command and prints the API's answer.
 pub fn run(access: &ApiAccess, command: TenantCommand) -> Result<(), CliError> {
     let request = ApiRequest::of(command)?;
     let file = &access.token_file;
@@ -33,7 +33,7 @@
 struct ApiRequest {
     method: &'static str,
     target: String,
-    /// The revision that it is meant for.
+    /// The revision for `If-Match`, if the call changes a tenant.
     revision: Option<u64>,
     content: Option<Content>,
 }
@@ -45,7 +45,7 @@
 }
 
 impl ApiRequest {
-    /// The call of a command; its content is read from standard input.
+    /// Creates the call of a command. Content is read from standard input.
     fn of(command: TenantCommand) -> Result<ApiRequest, CliError> {
         Ok(match command {
             TenantCommand::List => ApiRequest::new("GET", "/tenants".to_string()),
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, as its user is told.
+//! Errors of the commands, as shown to the user.
 
 use shalewall_http::client::CallError;
 use shalewall_platform::RunError;
@@ -13,31 +13,31 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// A settings file is wrong: one line for each error.
+    /// A settings file is invalid; each error is shown on its own line.
     #[error("{}", joined(.0))]
     Settings(Vec<shalewall_settings::Error>),
     /// A file can't be read.
     #[error("{}: {error}", file.display())]
     File { file: PathBuf, error: io::Error },
-    /// A store that has to be there is not.
+    /// The file of the store does not exist.
     #[error("{}: there is no such file", .0.display())]
     NoSuchStore(PathBuf),
-    /// A store that is there can't be opened.
+    /// An existing store can't be opened.
     #[error("{}: {error}", file.display())]
     StoreNotOpened { file: PathBuf, error: StoreError },
-    /// A day file of the bench can't be turned into a script.
+    /// A day file of the bench can't be converted to a script.
     #[error("{}: {error}", file.display())]
     Import { file: PathBuf, error: ImportError },
-    /// The machine lacked something that the day needed.
+    /// The machine lacked resources that the day needs, so its results are not valid.
     #[error("the day is not valid: {}", .0.join("; "))]
     InvalidDay(Vec<String>),
-    /// The administration API did not answer.
+    /// The administration API did not answer within the timeout.
     #[error("no answer in time")]
     NoAnswer,
     /// A call to the administration API failed.
     #[error("{0}")]
     Call(CallError),
-    /// The administration API did not do it.
+    /// The administration API answered with a status other than success.
     #[error("status {status}: {body}")]
     Status { status: u16, body: String },
     /// A director can't start.
@@ -46,22 +46,22 @@
     /// A director on the platform failed.
     #[error(transparent)]
     Platform(#[from] RunError),
-    /// A day could not be run.
+    /// A scripted day could not be run.
     #[error(transparent)]
     Day(#[from] DayError),
     /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// There is no such role.
+    /// A role is invalid.
     #[error(transparent)]
     Role(#[from] RoleError),
-    /// A script can't be written.
+    /// A script can't be serialized.
     #[error(transparent)]
     Script(#[from] hcl::Error),
-    /// Terms are not JSON.
+    /// The terms on standard input are not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Files, sockets or processes failed.
+    /// An operation on a file, socket or process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -72,7 +72,7 @@
 }
 
 impl CliError {
-    /// What the user is told, line by line.
+    /// The lines to print to the user.
     pub fn lines(&self) -> Vec<String> {
         match self {
             CliError::Settings(errors) => errors.iter().map(ToString::to_string).collect(),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// For reading a file.
+    /// Returns a function that converts an I/O error of a file.
     pub fn of_file(file: &Path) -> impl FnOnce(io::Error) -> CliError {
         let file = file.to_path_buf();
         move |error| CliError::File { file, error }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
 //! The program `shalewall`: the service, its directors on the platform, its administration API and store, and
 //! scripted days.
 //!
-//! `args` says what can be asked for, `commands` does it, `error` says what went wrong. Exit codes: 0 done, 1 a rule
-//! of a day was broken, 2 bad input or a failure.
+//! `args` defines the arguments, `commands` the commands, and `error` their errors. Exit codes: 0 success, 1 a rule of
+//! a scripted day is broken, 2 invalid input or another failure.
 
 mod args;
 mod commands;
@@ -13,12 +13,12 @@
 use error::CliError;
 use std::process::ExitCode;
 
-/// A rule of a day was broken.
+/// Exit code if a rule of a day is broken.
 const RULE_BROKEN: u8 = 1;
-/// Bad input, or a failure.
+/// Exit code for invalid input and other failures.
 const FAILED: u8 = 2;
 
-/// How a command ended that did what it was told.
+/// The result of a command that completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Done,
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Content of messages: framings read piece by piece, chunks written.
+//! Message content: incremental decoding of each framing, and encoding of chunks.
 
 use crate::{HttpError, Limits};
 
@@ -7,25 +7,25 @@
 pub enum Framing {
     Length(u64),
     Chunked,
-    /// Until the connection closes; responses only.
+    /// The content ends when the connection closes; responses only.
     ToClose,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Length(u64),
-    /// Before a chunk's size line.
+    /// Expects a chunk's size line.
     Size,
     Data(u64),
-    /// The CRLF after a chunk's data.
+    /// Expects the CRLF after a chunk's data.
     DataEnd,
-    /// Trailer lines, so many bytes of them read; dropped.
+    /// Reads and drops trailer fields; holds the number of bytes read so far.
     Trailer(usize),
     ToClose,
     End,
 }
 
-/// Reads the content of one message from a stream of bytes.
+/// Decodes the content of one message.
 #[derive(Debug)]
 pub struct BodyDecoder {
     state: State,
@@ -33,22 +33,22 @@
     trailer: usize,
 }
 
-/// What the next bytes are.
+/// A step of decoding.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Piece<'b> {
-    /// More bytes are needed.
+    /// More input is needed.
     NeedMore,
-    /// So many bytes are used up, of which these are content.
+    /// The number of input bytes consumed, and the content bytes among them.
     Data(usize, &'b [u8]),
-    /// The content has ended, after so many bytes more.
+    /// The content is complete, after consuming this number of further input bytes.
     End(usize),
 }
 
-/// A chunk's size line may be so long; extensions are dropped.
+/// Maximum length of a chunk's size line. Chunk extensions are ignored.
 const SIZE_LINE: usize = 128;
 
 impl BodyDecoder {
-    /// Fails at once where a stated length is over the limit.
+    /// Creates a decoder. Fails immediately if a `Content-Length` exceeds the limit.
     pub fn new(framing: Framing, limits: &Limits) -> Result<BodyDecoder, HttpError> {
         if matches!(framing, Framing::Length(n) if n > limits.body as u64) {
             return Err(HttpError::new(413, "content over the limit"));
@@ -60,7 +60,8 @@
         })
     }
 
-    /// Content without a bound, for event streams; each piece is bounded by what is read at once.
+    /// Creates a decoder without a limit on the content's total size, for event streams. The size of each piece is
+    /// limited by the size of a read.
     pub fn unbounded(framing: Framing) -> BodyDecoder {
         let state = match framing {
             Framing::Length(n) => State::Length(n),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The connection has closed: whether the content was whole.
+    /// Whether the content is complete if the connection closes now.
     pub fn is_complete_at_close(&self) -> bool {
         matches!(self.state, State::ToClose | State::End | State::Length(0))
     }
@@ -90,7 +91,8 @@
         Ok(Piece::Data(n, &buf[..n]))
     }
 
-    /// Looks at unread bytes. Call again, behind those used, until it ends or needs more.
+    /// Decodes the next piece from unconsumed input. Call it again with the input after the consumed bytes until it
+    /// returns [`Piece::End`] or [`Piece::NeedMore`].
     pub fn next<'b>(&mut self, buf: &'b [u8]) -> Result<Piece<'b>, HttpError> {
         match self.state {
             State::End | State::Length(0) => Ok(Piece::End(0)),
@@ -181,7 +183,7 @@
     }
 }
 
-/// Writes one chunk; nothing for empty data, which would end the content.
+/// Writes one chunk. Writes nothing for empty data, because an empty chunk would end the content.
 pub fn write_chunk(out: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
@@ -191,5 +193,5 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The end of chunked content.
+/// The last chunk, which ends chunked content.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client connection: one request at a time, and a failure that says whether the request can have run.
+//! A client connection with one request at a time. Its errors tell whether the request may have been executed.
 
 use crate::body::{BodyDecoder, Piece};
 use crate::head::{HeadParser, ResponseHead, write_request};
@@ -10,29 +10,30 @@
 use std::io;
 use std::time::Duration;
 
-/// Why a call has no whole answer.
+/// Why a call has no complete answer.
 #[derive(Debug)]
 pub enum CallError {
-    /// There is no connection, so nothing of it left.
+    /// No connection was established, so nothing of the request was sent.
     NotConnected(ConnectErrorKind, String),
-    /// No byte of the request was taken by the stream: it never ran.
+    /// The stream accepted no byte of the request, so it was not executed.
     NotExecuted(String),
-    /// At least one byte was: it may have run, whatever else is known.
+    /// The stream accepted at least one byte, so the request may have been executed.
     MaybeExecuted(String),
 }
 
-/// What a connection that could not be made says of the other side.
+/// What a failed connection attempt tells about the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectErrorKind {
-    /// Nobody listens there: the only proof that a process is gone.
+    /// No process listens on the address. Only this proves that the peer's process has ended.
     Refused,
-    /// This machine is short of something of its own: descriptors, ports, memory. It says nothing of the other side.
+    /// The local machine lacks a resource (descriptors, ports, memory), which says nothing about the peer.
     LocalShortage,
-    /// Anything else, as a route that is away: no proof of anything.
+    /// Any other error, such as a missing route, which says nothing about the peer.
     Unknown,
 }
 
 impl ConnectErrorKind {
+    /// Classifies the error of a connection attempt.
     pub fn of(error: &std::io::Error) -> ConnectErrorKind {
         let own = [
             Errno::MFILE,
@@ -50,7 +51,7 @@
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Response {
     pub head: ResponseHead,
@@ -66,20 +67,20 @@
     }
 }
 
-/// What is sent.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
     pub method: &'a str,
     pub target: &'a str,
     pub host: &'a str,
-    /// Further fields: `Authorization`, say.
+    /// Additional header fields, such as `Authorization`.
     pub fields: &'a [(&'a str, &'a str)],
     /// Content and its media type.
     pub content: Option<(&'a str, &'a [u8])>,
 }
 
 impl<'a> Call<'a> {
-    /// A call without further fields or content.
+    /// Creates a call without additional fields or content.
     pub fn new(method: &'a str, target: &'a str, host: &'a str) -> Call<'a> {
         Call {
             method,
@@ -117,7 +118,7 @@
     }
 }
 
-/// A connection that carries calls one after the other.
+/// A connection that carries sequential calls.
 pub struct Connection<S> {
     stream: S,
     buf: Vec<u8>,
@@ -125,7 +126,7 @@
     spent: bool,
 }
 
-/// Gives up on a future after `within`.
+/// Runs a future with a timeout. Returns `None` if it does not complete in time.
 pub async fn with_timeout<T>(within: Duration, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
         Timer::after(within).await;
@@ -134,15 +135,15 @@
     .await
 }
 
-/// So much is read at once.
+/// Maximum number of bytes per read.
 const READ: usize = 4 * 1024;
 
-/// Reads more into a buffer. 0: the peer has closed.
+/// Reads more bytes into a buffer. Returns 0 if the peer has closed the connection.
 pub(crate) async fn fill<S: AsyncRead + Unpin>(
     stream: &mut S,
     buf: &mut Vec<u8>,
 ) -> io::Result<usize> {
-    // Into the buffer's own end: an array here would be a part of every future that waits for bytes, and be
+    // Reads directly into the buffer: a local array would be part of every future that waits for bytes, and would be
     // moved with it.
     let before = buf.len();
     let mut filling = Filling { buf, before };
@@ -152,7 +153,7 @@
     Ok(n)
 }
 
-/// Cuts a buffer back to what was read, also when the read is given up.
+/// Truncates the buffer to the bytes that were read, also when the read is cancelled.
 struct Filling<'b> {
     buf: &'b mut Vec<u8>,
     before: usize,
@@ -174,13 +175,13 @@
         }
     }
 
-    /// Another call may follow on it.
+    /// Whether the connection may carry another call.
     pub fn reusable(&self) -> bool {
         !self.spent
     }
 
-    /// The peer has closed it, or has sent what nobody asked for. Such a connection may not carry a paid
-    /// set-up: whether the request was read could not be told any more.
+    /// Whether the peer has closed the connection or sent unsolicited bytes. Such a connection must not carry a
+    /// set-up that is not idempotent, because whether the peer has read the request could not be determined.
     pub async fn is_closed_by_peer(&mut self) -> bool {
         let mut byte = [0];
         !self.buf.is_empty()
@@ -189,9 +190,9 @@
                 .is_some()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     async fn start(&mut self, call: &Call<'_>) -> Result<ResponseHead, CallError> {
-        self.spent = true; // until the answer is whole
+        self.spent = true; // until the response is complete
         let bytes = call.bytes();
         let mut at = 0;
         let mut broke = None;
@@ -200,12 +201,12 @@
                 Ok(n) if n > 0 => at += n,
                 result if at == 0 => {
                     return Err(CallError::NotExecuted(format!(
-                        "nothing written: {result:?}"
+                        "write failed before the first byte: {result:?}"
                     )));
                 }
                 result => {
-                    // The peer may have answered early and closed: its answer stands.
-                    broke = Some(format!("broke after {at} bytes: {result:?}"));
+                    // The peer may have answered early and closed the connection, so its answer is still read.
+                    broke = Some(format!("write failed after {at} bytes: {result:?}"));
                     break;
                 }
             }
@@ -214,7 +215,7 @@
         let mut finder = HeadParser::default();
         loop {
             match finder.parse_response(&self.buf, &self.limits, call.method == "HEAD") {
-                Err(bad) => return Err(failed(format!("the answer is malformed: {bad}"))),
+                Err(bad) => return Err(failed(format!("malformed response: {bad}"))),
                 Ok(Some((head, used))) => {
                     self.buf.drain(..used);
                     if head.status >= 200 {
@@ -226,22 +227,30 @@
                 Ok(None) => {}
             }
             match fill(&mut self.stream, &mut self.buf).await {
-                Ok(0) => return Err(failed(broke.unwrap_or("closed before the answer".into()))),
+                Ok(0) => {
+                    return Err(failed(
+                        broke.unwrap_or("connection closed before the response".into()),
+                    ));
+                }
                 Ok(_) => {}
                 Err(e) => {
                     return Err(failed(
-                        broke.unwrap_or(format!("broke before the answer: {e}")),
+                        broke.unwrap_or(format!("connection failed before the response: {e}")),
                     ));
                 }
             }
         }
     }
 
-    /// Sends a request and takes its whole answer. Waits as long as the caller does: drop it to give up.
+    /// Sends a request and reads its complete response, without a timeout. Dropping the future cancels the call.
     pub async fn call(&mut self, call: &Call<'_>) -> Result<Response, CallError> {
         let head = self.start(call).await?;
-        let cut =
-            |what: String| CallError::MaybeExecuted(format!("{} cut short: {what}", head.status));
+        let cut = |what: String| {
+            CallError::MaybeExecuted(format!(
+                "response with status {} is incomplete: {what}",
+                head.status
+            ))
+        };
         let mut body =
             BodyDecoder::new(head.framing, &self.limits).map_err(|b| cut(b.to_string()))?;
         let mut content = Vec::new();
@@ -266,7 +275,7 @@
                             body: content,
                         });
                     }
-                    Ok(0) => return Err(cut("closed".into())),
+                    Ok(0) => return Err(cut("connection closed".into())),
                     Ok(_) => {}
                     Err(e) => return Err(cut(e.to_string())),
                 },
@@ -274,7 +283,7 @@
         }
     }
 
-    /// Asks for content without an end and hands over the connection for it.
+    /// Sends a request for content without an end. Consumes the connection.
     pub async fn stream(
         mut self,
         call: &Call<'_>,
@@ -292,7 +301,7 @@
     }
 }
 
-/// Content that arrives for as long as the peer sends it.
+/// A response body that is read piece by piece.
 pub struct BodyStream<S> {
     stream: S,
     buf: Vec<u8>,
@@ -300,7 +309,7 @@
 }
 
 impl<S: AsyncRead + Unpin> BodyStream<S> {
-    /// The next bytes; none when the content has ended or broke.
+    /// The next bytes. Returns `None` if the content has ended or the connection broke.
     pub async fn next(&mut self) -> Option<Vec<u8>> {
         loop {
             match self.body.next(&self.buf).ok()? {
@@ -322,7 +331,7 @@
     }
 }
 
-/// Server-sent events over an endless answer.
+/// Server-sent events from a response body.
 pub struct EventStream<S> {
     incoming: BodyStream<S>,
     reader: sse::Decoder,
@@ -330,7 +339,7 @@
 }
 
 impl<S: AsyncRead + Unpin> EventStream<S> {
-    /// `most`: bytes that one event may hold.
+    /// `most` is the maximum size of one event in bytes.
     pub fn new(incoming: BodyStream<S>, most: usize) -> EventStream<S> {
         EventStream {
             incoming,
@@ -339,8 +348,8 @@
         }
     }
 
-    /// The next events, in order; none when the stream has ended, broke, or was silent for so long. Beats
-    /// count as a sign of life and give an empty list.
+    /// The next events in order. Returns `None` if the stream has ended or broke, or if no byte arrived for the
+    /// duration `silence`. A keep-alive returns an empty list.
     pub async fn next(&mut self, silence: Duration) -> Option<Vec<sse::Event>> {
         let bytes = with_timeout(silence, self.incoming.next()).await??;
         self.reader.feed(&bytes, &mut self.ready).ok()?;
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,12 +1,13 @@
-//! Heads of messages: parsed from bytes, written to bytes.
+//! Parsing and writing of message heads.
 //!
-//! The parser is strict where leniency lets two readers of one stream disagree (RFC 9112, section 11): line
-//! ends are CRLF, no folding, no space before a colon, one framing. What it refuses it refuses with a status.
+//! The parser is strict where lenient parsers could disagree about message boundaries (RFC 9112, section 11): lines
+//! end with CRLF, and folding, a space before a colon and conflicting framings are rejected. Each rejection has a
+//! status.
 
 use crate::{HttpError, Limits, body::Framing};
 use std::ops::Range;
 
-/// Header fields of one message, kept as the bytes that came.
+/// Header fields of one message, stored as the received bytes.
 #[derive(Clone, Debug, Default)]
 pub struct Fields {
     block: Vec<u8>,
@@ -14,7 +15,7 @@
 }
 
 impl Fields {
-    /// All values of a name, in order; names compare without case.
+    /// All values of a field in order. Names are compared case-insensitively.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         let same = move |(n, _): &&(Range<usize>, Range<usize>)| {
             self.block[n.clone()].eq_ignore_ascii_case(name.as_bytes())
@@ -25,14 +26,14 @@
             .map(|(_, v)| &self.block[v.clone()])
     }
 
-    /// The first value of a name, where it is text.
+    /// The first value of a field. Returns `None` if it is missing or not UTF-8.
     pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         self.all(name)
             .next()
             .and_then(|v| std::str::from_utf8(v).ok())
     }
 
-    /// Whether a comma-separated field names this token.
+    /// Whether a comma-separated field contains a token.
     fn lists<'a>(&'a self, name: &'a str, token: &'a str) -> bool {
         let is = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
         self.all(name).any(|v| v.split(|b| *b == b',').any(is))
@@ -51,11 +52,11 @@
 #[derive(Clone, Debug)]
 pub struct RequestHead {
     pub method: String,
-    /// As it came: path and query, not decoded.
+    /// Path and query as received, not decoded.
     pub target: String,
     pub fields: Fields,
     pub framing: Framing,
-    /// The connection may carry another request after this one.
+    /// Whether the connection may carry another request after this one.
     pub keep_alive: bool,
 }
 
@@ -65,7 +66,7 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// A value of the query, as it came.
+    /// The value of a query parameter as received, not decoded.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query
@@ -75,7 +76,7 @@
             .map(|(_, v)| v)
     }
 
-    /// The sender waits for a go-ahead before it sends the content.
+    /// Whether the sender waits for `100 Continue` before it sends the content.
     pub fn expects_continue(&self) -> bool {
         self.fields.lists("expect", "100-continue")
     }
@@ -90,15 +91,15 @@
     pub keep_alive: bool,
 }
 
-/// Finds the end of a head in a buffer that grows, without reading any byte twice: a peer that sends single
-/// bytes costs no more than one that sends them at once.
+/// Finds the end of a head in a growing buffer and parses the head. The search resumes where it stopped, so a peer
+/// that sends single bytes costs no more than one that sends the head at once.
 #[derive(Clone, Debug, Default)]
 pub struct HeadParser {
     at: usize,
 }
 
 impl HeadParser {
-    /// Length of the head, its empty line included, once it is whole.
+    /// Returns the length of the head including its empty line, or `None` if more bytes are needed.
     pub fn find_end(&mut self, buf: &[u8], limits: &Limits) -> Result<Option<usize>, HttpError> {
         let from = self.at.saturating_sub(3);
         let end = buf[from..]
@@ -112,16 +113,17 @@
         Ok(end)
     }
 
-    /// A request head, and how many bytes it took. None: more is needed.
+    /// Parses a request head. Returns it with the number of consumed bytes, or `None` if more bytes are needed.
     pub fn parse_request(
         &mut self,
         buf: &[u8],
         limits: &Limits,
     ) -> Result<Option<(RequestHead, usize)>, HttpError> {
-        // One empty line before a request is passed over (RFC 9112, section 2.2).
+        // One empty line before a request is ignored (RFC 9112, section 2.2).
         let skip = if buf.starts_with(b"\r\n") { 2 } else { 0 };
         let rest = &buf[skip..];
-        // A start line that is wrong is told before the rest has come; a bare LF never becomes an end.
+        // The start line is checked before the rest of the head arrives. A line ending in a bare LF is rejected, so
+        // it never counts as a line end.
         if !rest.iter().take(limits.target + 32).any(|b| *b == b'\n') {
             if rest.len() >= limits.target + 32 {
                 return Err(HttpError::new(414, "request target too long"));
@@ -156,7 +158,8 @@
         )))
     }
 
-    /// A response head, and how many bytes it took. `bodiless`: the request was a HEAD.
+    /// Parses a response head. Returns it with the number of consumed bytes, or `None` if more bytes are needed.
+    /// `bodiless` is set if the request was a HEAD.
     pub fn parse_response(
         &mut self,
         buf: &[u8],
@@ -205,7 +208,7 @@
     b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b)
 }
 
-/// A byte that may not stand in a value: NUL, CR, LF and the other controls but the tab.
+/// Whether a byte is a control character other than the tab, which a field value must not contain.
 fn control(b: u8) -> bool {
     (b < 0x20 && b != b'\t') || b == 0x7f
 }
@@ -242,7 +245,7 @@
     Ok((text(method), text(target)))
 }
 
-/// The header fields of a head, from behind its start line to its empty line. RTSP's have the same form
+/// Parses the header fields of a head, from after its start line to its empty line. RTSP uses the same syntax
 /// (RFC 7826, section 5.2).
 pub fn parse_fields(block: &[u8], limits: &Limits) -> Result<Fields, HttpError> {
     let mut found = Fields {
@@ -294,8 +297,8 @@
     Ok(found)
 }
 
-/// How the content is delimited (RFC 9112, section 6.3). Two ways at once are refused: that is how requests
-/// are smuggled past a front.
+/// How the content is delimited (RFC 9112, section 6.3). Conflicting framings are rejected, since they allow request
+/// smuggling.
 fn framing(fields: &Fields, old: bool) -> Result<Option<Framing>, HttpError> {
     let mut lengths = fields.all("content-length");
     let length = lengths.next();
@@ -327,7 +330,7 @@
     }
 }
 
-/// The reason phrase of a status, for people who read a trace.
+/// The reason phrase of a status; empty for an unknown status.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
@@ -365,13 +368,13 @@
     for (name, value) in fields {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
-        // A value that could end the line early would be a second message: its controls are dropped.
+        // Control characters are dropped: a line end inside a value would allow header injection.
         out.extend(value.bytes().filter(|b| !control(*b)));
         out.extend_from_slice(b"\r\n");
     }
 }
 
-/// Writes the head of a request, up to and with its empty line.
+/// Writes the head of a request including its empty line.
 pub fn write_request(out: &mut Vec<u8>, method: &str, target: &str, fields: &[(&str, &str)]) {
     out.extend_from_slice(method.as_bytes());
     out.push(b' ');
@@ -381,7 +384,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes the head of a response, up to and with its empty line.
+/// Writes the head of a response including its empty line.
 pub fn write_response(out: &mut Vec<u8>, status: u16, fields: &[(&str, &str)]) {
     out.extend_from_slice(b"HTTP/1.1 ");
     out.extend_from_slice(status.to_string().as_bytes());
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 as the front speaks it, by RFC 9110 and RFC 9112.
+//! An HTTP/1.1 client and server (RFC 9110, RFC 9112) for the director and its tools.
 //!
-//! Two halves. [`head`], [`body`] and [`sse`] turn bytes into messages and back: no I/O, no clock, limits
-//! checked before anything is kept. [`client`], [`pool`] and [`server`] drive them over futures-lite streams
-//! (async-io's on sockets, anything in tests) and add what needs a clock: time-outs on every wait.
+//! [`head`], [`body`] and [`sse`] decode and encode messages without I/O or a clock, and check limits before they
+//! buffer anything. [`client`], [`pool`] and [`server`] run them over futures-lite streams (async-io sockets, or any
+//! stream in tests) and add timeouts.
 //!
-//! What this crate may know: bytes, limits, time-outs. What it must not: sessions, servers, rules. Yet one
-//! thing that the rules need can only be seen here: whether any byte of a request reached the other side's
-//! stream. [`client::CallError`] says so, and nothing above has to guess.
+//! This crate handles bytes, limits and timeouts. It knows nothing of sessions, media nodes or decisions. Retry
+//! decisions depend on whether any byte of a request was written to the connection, which only this layer can
+//! observe: [`client::CallError`] reports it.
 
 pub mod body;
 pub mod client;
@@ -17,26 +17,26 @@
 
 use std::time::Duration;
 
-/// Bounds on what a peer may send and how long it may take. Sizes in bytes.
+/// Limits on what a peer may send and how long it may take. Sizes are in bytes.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Request target; longer ones get 414.
+    /// Length of a request target; longer ones get status 414.
     pub target: usize,
-    /// The whole head, start line to empty line; more gets 431.
+    /// Size of a head, from the start line to the empty line; larger ones get status 431.
     pub head: usize,
-    /// Number of header fields; more gets 431.
+    /// Number of header fields; more get status 431.
     pub fields: usize,
-    /// A message's content; more gets 413.
+    /// Size of a message's content; larger ones get status 413.
     pub body: usize,
-    /// Bytes read ahead while a request is being answered.
+    /// Bytes of pipelined requests that are read while a request is being answered.
     pub read_ahead: usize,
-    /// From the first byte of a head to its end; then 408.
+    /// Timeout from the first byte of a head to its end; then status 408.
     pub head_timeout: Duration,
-    /// For the content after the head; then 408.
+    /// Timeout for the content after the head; then status 408.
     pub body_timeout: Duration,
-    /// A kept connection without a request is closed after this.
+    /// A connection without a request is closed after this time.
     pub idle_timeout: Duration,
-    /// For one write of a peer that takes nothing.
+    /// Timeout for one write.
     pub write_timeout: Duration,
 }
 
@@ -56,11 +56,12 @@
     }
 }
 
-/// Why a message can't be taken, and the status that tells its sender so.
+/// Why a message is rejected, and the status to answer it with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpError {
-    /// Status of the answer, 400 to 599.
+    /// The HTTP status, 400 to 599.
     pub status: u16,
+    /// The reason, for people.
     pub detail: &'static str,
 }
 
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to one peer.
+//! A pool of idle connections to one address.
 
 use crate::Limits;
 use crate::client::{Call, CallError, ConnectErrorKind, Connection, Response};
@@ -7,12 +7,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Connections to one address that may be used again. Each carries one call at a time.
+/// Reuses connections to one address. Each connection carries one call at a time.
 pub struct Pool {
     address: SocketAddr,
     limits: Limits,
-    /// Idle connections are kept so long, and so many of them.
+    /// How long an idle connection is kept.
     idle_timeout: Duration,
+    /// Maximum number of idle connections.
     max_idle: usize,
     idle: RefCell<Vec<(Instant, Connection<Async<TcpStream>>)>>,
 }
@@ -37,18 +38,18 @@
         self.address
     }
 
-    /// Closes what is idle.
+    /// Closes all idle connections.
     pub fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// A new connection, for content without an end.
+    /// Opens a new connection outside the pool, for content without an end.
     pub async fn connect(&self) -> Result<Connection<Async<TcpStream>>, CallError> {
         let made = Async::<TcpStream>::connect(self.address).await;
         let stream = made.map_err(|e| {
-            CallError::NotConnected(ConnectErrorKind::of(&e), format!("no connection: {e}"))
+            CallError::NotConnected(ConnectErrorKind::of(&e), format!("connect failed: {e}"))
         })?;
-        // Small requests and answers: waiting to fill a segment would only add delay.
+        // Requests and answers are small, so Nagle's algorithm would only add latency.
         let _ = stream.get_ref().set_nodelay(true);
         Ok(Connection::new(stream, self.limits.clone()))
     }
@@ -64,8 +65,8 @@
         }
     }
 
-    /// One call, on a kept connection where there is one. It is never sent twice: a kept connection that
-    /// breaks under it is a failure like any other.
+    /// Executes one call, on an idle connection if there is one. The call is never sent twice: a reused connection
+    /// that breaks during the call fails it like a new one.
     pub async fn call(&self, call: &Call<'_>) -> Result<Response, CallError> {
         let mut connection = self.take().await?;
         let response = connection.call(call).await?;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server connection: requests read within limits and time, answered in their order.
+//! A server connection: reads requests within limits and timeouts, and answers them in order.
 
 use crate::body::{BodyDecoder, LAST_CHUNK, Piece, write_chunk};
 use crate::client::{fill, with_timeout};
@@ -10,21 +10,21 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
     pub head: RequestHead,
     pub body: Vec<u8>,
 }
 
-/// Content of an answer.
+/// Content of a reply.
 pub enum Content {
     Complete(Vec<u8>),
-    /// Pieces as they come, chunked; dropped when the peer leaves.
+    /// Sent piece by piece with chunked coding; the stream is dropped when the peer closes the connection.
     Stream(Pin<Box<dyn Stream<Item = Vec<u8>>>>),
 }
 
-/// An answer.
+/// A response to send.
 pub struct Reply {
     pub status: u16,
     pub fields: Vec<(&'static str, String)>,
@@ -46,12 +46,12 @@
             .content(text.into_bytes())
     }
 
-    /// An error as RFC 9457 has it. `detail` is for people.
+    /// Creates a problem document (RFC 9457). `detail` is for people.
     pub fn problem(status: u16, detail: &str) -> Reply {
         Reply::problem_with(status, detail, Map::new())
     }
 
-    /// The same with members of its own (section 3.2).
+    /// Creates a problem document with extension members (RFC 9457, section 3.2).
     pub fn problem_with(status: u16, detail: &str, mut members: Map<String, Value>) -> Reply {
         members.insert("status".into(), status.into());
         members.insert("title".into(), crate::head::reason_phrase(status).into());
@@ -81,32 +81,32 @@
 /// How a connection ended.
 #[derive(Debug)]
 pub enum ConnectionEnd {
-    /// Between two requests.
+    /// Between two requests: the peer closed the connection, or it was idle for too long.
     Idle,
-    /// With a request half read: these bytes of it had come.
+    /// In the middle of a request; holds the bytes of the head or content received by then.
     Truncated(Vec<u8>),
-    /// While a request was being answered; its handler was dropped.
+    /// The peer closed the connection while a request was being answered; the handler was dropped.
     PeerClosed,
-    /// A request was turned down and the connection closed.
+    /// A request was rejected and the connection closed.
     Rejected(HttpError),
-    /// The peer took no bytes, or the connection broke while an answer was written.
+    /// A write timed out or failed.
     WriteFailed,
 }
 
-/// What is asked about a connection while it is served.
+/// Hooks of a connection that is being served.
 pub trait ConnectionHooks {
-    /// The head of a request has come, of so many bytes; the content may have so many at most. An error is the
-    /// answer, and the connection is closed after it.
+    /// Called with a request's head and the head's size in bytes. Returns the maximum size of the content in bytes. An
+    /// error is sent as the answer, and the connection is closed.
     fn on_request_head(&mut self, head: &RequestHead, size: usize) -> Result<usize, HttpError>;
 
-    /// The request has come whole: it is owed an answer.
+    /// Called when the request is complete, before it is handled.
     fn on_request_complete(&mut self);
 
-    /// A request has been answered, and none is under way.
+    /// Called when a request has been answered and no other one is in progress.
     fn on_idle(&mut self);
 }
 
-/// Nobody is asked.
+/// Accepts all requests.
 impl ConnectionHooks for () {
     fn on_request_head(&mut self, _: &RequestHead, _: usize) -> Result<usize, HttpError> {
         Ok(usize::MAX)
@@ -123,7 +123,8 @@
     limits: &'l Limits,
 }
 
-/// Serves a connection to its end. The handler's future is dropped when the peer closes before its answer.
+/// Serves a connection until it ends. The handler's future is dropped if the peer closes the connection before it
+/// completes.
 pub async fn serve<S, H, F>(stream: S, limits: &Limits, handle: H) -> ConnectionEnd
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -133,7 +134,7 @@
     serve_with_hooks(stream, limits, &mut (), handle).await
 }
 
-/// The same at a hooks that each request's head has to pass.
+/// Like [`serve`], with hooks that can reject a request by its head.
 pub async fn serve_with_hooks<S, H, F>(
     stream: S,
     limits: &Limits,
@@ -188,7 +189,7 @@
             }
         }
         let late = |buf: &mut Vec<u8>, what| {
-            // A peer that sent nothing but part of a head is told; its bytes are dropped.
+            // The peer gets an answer; the bytes of its incomplete request are dropped.
             buf.clear();
             ConnectionEnd::Rejected(HttpError::new(408, what))
         };
@@ -216,7 +217,7 @@
         Ok(Request { head, body })
     }
 
-    /// A head and its size in bytes.
+    /// Reads a head. Returns it with its size in bytes.
     async fn head(&mut self) -> Result<(RequestHead, usize), ConnectionEnd> {
         let mut finder = HeadParser::default();
         loop {
@@ -254,7 +255,8 @@
         }
     }
 
-    /// Waits for the handler, or a piece, while it watches the peer. None: the peer has left.
+    /// Runs `work` (the handler, or the next piece) while watching the peer. Returns `None` if the peer closed the
+    /// connection.
     async fn answer<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let Server {
             stream,
@@ -262,7 +264,7 @@
             limits,
         } = self;
         let gone = async {
-            // What comes early is the next request, kept up to the limit; past it the peer has to wait.
+            // Early bytes belong to the next request. They are buffered up to the limit; beyond it nothing is read.
             while buf.len() < limits.read_ahead {
                 if !matches!(fill(stream, buf).await, Ok(n) if n > 0) {
                     return None;
@@ -273,8 +275,8 @@
         future::or(async { Some(work.await) }, gone).await
     }
 
-    /// Closing over unread bytes would reset the connection and could take the answer with it, so what a
-    /// refused peer still sends is read and dropped, for a short time and up to a bound.
+    /// Reads and drops what a rejected peer still sends, for a limited time and size. Closing a socket with unread
+    /// bytes would reset the connection, and the peer could lose the answer.
     async fn linger(&mut self) {
         let Server {
             stream,
@@ -300,7 +302,7 @@
             .ok()
     }
 
-    /// Writes an answer. Some(true): another request may follow; None: the peer takes nothing.
+    /// Writes a reply. Returns whether another request may follow, or `None` if a write timed out or failed.
     async fn write(&mut self, reply: Reply, keep_alive: bool) -> Option<bool> {
         let Reply {
             status,
@@ -314,7 +316,7 @@
             String::new()
         };
         match &content {
-            // A 204 has no content and says nothing of its length (RFC 9110, section 8.6).
+            // A 204 has no content and no Content-Length (RFC 9110, section 8.6).
             Content::Complete(_) if status == 204 => {}
             Content::Complete(_) => list.push(("Content-Length", &length)),
             Content::Stream(_) => list.push(("Transfer-Encoding", "chunked")),
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,15 +1,15 @@
-//! Server-sent events (the HTML standard's event stream): lines in, events out.
+//! Server-sent events, the event stream format of the HTML standard.
 
 use crate::HttpError;
 
-/// One event: its type and its data, lines joined.
+/// One event: its type, and its data lines joined by line feeds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
     pub kind: String,
     pub data: String,
 }
 
-/// Collects lines into events, bounded.
+/// Decodes a stream of bytes into events, with a limit on an event's size.
 #[derive(Debug)]
 pub struct Decoder {
     line: Vec<u8>,
@@ -18,7 +18,7 @@
 }
 
 impl Decoder {
-    /// `most`: bytes that one event may hold.
+    /// `most` is the maximum size of one event in bytes.
     pub fn new(most: usize) -> Decoder {
         Decoder {
             line: Vec::new(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes bytes and appends the events that they complete.
+    /// Decodes more bytes and appends the completed events to `out`.
     pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), HttpError> {
         for part in bytes.split_inclusive(|b| *b == b'\n') {
             if self.line.len() + self.event.data.len() + part.len() > self.most {
@@ -62,12 +62,12 @@
                 }
                 self.event.data.push_str(value);
             }
-            _ => {} // comments, and what is not known
+            _ => {} // comments and unknown fields
         }
     }
 }
 
-/// Writes one event. Line ends in the data become further data lines.
+/// Writes one event. Each line of the data becomes a data line.
 pub fn write_event(out: &mut Vec<u8>, kind: &str, data: &str) {
     out.extend_from_slice(format!("event: {kind}\n").as_bytes());
     for line in data.lines() {
@@ -76,5 +76,5 @@
     out.push(b'\n');
 }
 
-/// A comment, which keeps a quiet stream from looking dead.
+/// A comment line, sent as a keep-alive on a stream without events.
 pub const KEEP_ALIVE: &[u8] = b": beat\n\n";
--- a/crates/server/src/accept.rs
+++ b/crates/server/src/accept.rs
@@ -1,4 +1,4 @@
-//! Viewers' connections: accepted within bounds, each served by a task of its own.
+//! Accepts viewers' connections up to a limit and serves each in its own task.
 
 use crate::connections::{AdmittedConnection, TenantConnections};
 use crate::event_loop::EventLoop;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// How long no connection is accepted after one could not be: out of descriptors, most likely, which passes.
+/// Delay after a failed accept, most likely for lack of file descriptors, which is temporary.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Accepts connections for as long as it is polled.
@@ -39,12 +39,12 @@
                 continue;
             }
         };
-        // A crowd of connections is taken one by one: whoever is connected already has a turn in between.
+        // Yields after each connection, so that a burst of new ones does not starve the open ones.
         futures_lite::future::yield_now().await;
         let _ = stream.get_ref().set_nodelay(true);
         match &acceptor.tenant_connections {
             Some(connections) => {
-                // Without room it is closed at once.
+                // At the connection limit the stream is dropped, which closes it.
                 if let Some(admitted) = connections.open() {
                     acceptor.serve_tenant(stream, connections, admitted);
                 }
@@ -57,15 +57,15 @@
 struct Acceptor {
     event_loop: Rc<EventLoop>,
     api: Rc<ViewerApi>,
-    /// The connections by their tenants, where the director is shared by some.
+    /// The connections by tenant; `None` for a director without tenants.
     tenant_connections: Option<Rc<TenantConnections>>,
-    /// How many connections are open, where it is not.
+    /// Number of open connections of a director without tenants.
     open: Rc<Cell<usize>>,
     max_connections: usize,
 }
 
 impl Acceptor {
-    /// Serves a connection within the bounds of its tenant.
+    /// Serves a connection within the limits of its tenant.
     fn serve_tenant(
         &self,
         stream: Async<TcpStream>,
@@ -82,7 +82,7 @@
         connections.set_task(id, task);
     }
 
-    /// Serves a connection of a director without tenants; above the bound it is closed at once.
+    /// Serves a connection of a director without tenants. At the connection limit it is closed immediately.
     fn serve_any(&self, stream: Async<TcpStream>) {
         let open = self.open.clone();
         if open.get() >= self.max_connections {
--- a/crates/server/src/admin_client.rs
+++ b/crates/server/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! The administration API as a director calls it.
+//! A director's client for the administration API.
 
 use shalewall_http::Limits;
 use shalewall_http::client::{Call, CallError, Response, with_timeout};
@@ -7,22 +7,22 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// An idle connection to the API is kept for so long.
+/// How long an idle connection to the API is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a call to the API brought nothing.
+/// Why a call to the API failed.
 #[derive(Debug, Error)]
 pub enum AdminCallError {
-    /// No answer came within the call's time.
+    /// No answer arrived within the call's timeout.
     #[error("no answer in time")]
     TimedOut,
-    /// No complete answer came.
+    /// No complete answer was received.
     #[error("{0}")]
     Failed(CallError),
-    /// The API did not do it.
+    /// The API answered with a status other than success.
     #[error("status {0}")]
     Status(u16),
-    /// The answer is not of the right form.
+    /// The answer can't be decoded.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
@@ -35,7 +35,7 @@
 }
 
 impl AdminClient {
-    /// `max_body`: bytes of an answer at most.
+    /// Creates a client. `max_body` is the maximum size of an answer in bytes.
     pub fn new(hosting: &Hosting, token: &str, max_body: usize) -> AdminClient {
         let limits = Limits {
             body: max_body,
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Gets something.
+    /// Sends a GET request.
     pub async fn get(&self, target: &str, timeout: Duration) -> Result<Response, AdminCallError> {
         self.call(Call::new("GET", target, &self.host), timeout)
             .await
     }
 
-    /// Posts JSON.
+    /// Sends a POST request with JSON content.
     pub async fn post(
         &self,
         target: &str,
--- a/crates/server/src/connections.rs
+++ b/crates/server/src/connections.rs
@@ -1,5 +1,5 @@
-//! The connections of a director that tenants share: which tenant's each is, by the head of its requests, and which
-//! are closed for others. What is decided is decided in `shalewall_tenancy::connections`.
+//! Connections of a director that is shared by tenants. A request's head assigns its connection to a tenant, and
+//! connections over a tenant's quota may be evicted. `shalewall_tenancy::connections` makes the decisions.
 
 use crate::tenants::Tenants;
 use async_executor::Task;
@@ -12,17 +12,17 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The field by which a request says whose it is before its content is read.
+/// The header field that names a request's tenant, so that it is known before the content is read.
 pub const TENANT_FIELD: &str = "shalewall-tenant";
 
-/// All connections of a director that tenants share.
+/// All connections of a director that is shared by tenants.
 pub struct TenantConnections {
     tenants: Rc<Tenants>,
     tasks: RefCell<HashMap<ConnectionId, Task<()>>>,
 }
 
 impl TenantConnections {
-    /// None is open yet.
+    /// Creates the registry without any connections.
     pub fn new(tenants: Rc<Tenants>) -> Rc<TenantConnections> {
         Rc::new(TenantConnections {
             tenants,
@@ -30,7 +30,7 @@
         })
     }
 
-    /// A connection has come; none: there is no room, and it is to be closed.
+    /// Registers an accepted connection. Returns `None` at the connection limit; the caller closes the connection then.
     pub fn open(self: &Rc<TenantConnections>) -> Option<AdmittedConnection> {
         let opened = self.tenants.connections().open()?;
         self.evict(opened.evicted);
@@ -40,7 +40,7 @@
         })
     }
 
-    /// The task that serves a connection.
+    /// Sets the task that serves a connection. Dropping the task closes the connection.
     pub fn set_task(&self, id: ConnectionId, task: Task<()>) {
         self.tasks.borrow_mut().insert(id, task);
     }
@@ -52,15 +52,15 @@
     }
 }
 
-/// One connection's place, held for as long as it is served.
+/// A registered connection; dropping it removes the registration.
 pub struct AdmittedConnection {
     connections: Rc<TenantConnections>,
-    /// Which it is.
+    /// The connection's id.
     pub id: ConnectionId,
 }
 
 impl AdmittedConnection {
-    /// Books the connection for the tenant that a head names.
+    /// Assigns the connection to a tenant, evicting another connection if the quotas require it.
     fn assign(&self, tenant: &TenantId) -> Result<(), HttpError> {
         let tenants = &self.connections.tenants;
         let assigned = tenants.connections().assign(self.id, tenant);
@@ -119,7 +119,8 @@
 impl Drop for AdmittedConnection {
     fn drop(&mut self) {
         self.connections.tenants.connections().close(self.id);
-        // Its own task, if it ends by itself: detached, since it is what runs this.
+        // When the connection ends by itself, this runs in its own task: dropping the task would cancel it, so it is
+        // detached.
         let own = self.connections.tasks.borrow_mut().remove(&self.id);
         own.into_iter().for_each(Task::detach);
     }
--- a/crates/server/src/director.rs
+++ b/crates/server/src/director.rs
@@ -1,17 +1,17 @@
-//! What every part of a director is told of it at its start.
+//! Settings that all parts of a director share.
 
 use shalewall_http::Limits;
 use shalewall_migration::ticket::TicketKey;
 use std::time::Duration;
 
-/// A director as its parts know it.
+/// Identity and settings of one director, fixed at its start.
 pub struct Director {
-    /// Its number, by which nodes, endpoint list and administration API know it.
+    /// The number that identifies it to nodes, the endpoint list and the administration API.
     pub number: u32,
-    /// Bounds of the messages that it reads.
+    /// Limits on the HTTP messages that it reads.
     pub limits: Limits,
-    /// An event stream without any byte for so long counts as broken.
+    /// An event stream that delivers no byte for this long is treated as broken.
     pub stream_timeout: Duration,
-    /// Seals the tickets of migrations; none: sessions are not migrated.
+    /// The key that seals migration tickets. `None` if sessions are not migrated.
     pub ticket_key: Option<TicketKey>,
 }
--- a/crates/server/src/endpoint_list.rs
+++ b/crates/server/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, pushed to this director.
+//! The stream of the endpoint list, whose service pushes updates to the director.
 
 use crate::director::Director;
 use async_io::Timer;
@@ -13,44 +13,44 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// Pause between attempts at the list's stream.
+/// Delay before the stream is reopened after it ended or could not be opened.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
-/// One event holds at most so many bytes: a list of some thousand nodes.
+/// Maximum size of one event, enough for a list of some thousand nodes.
 const MAX_EVENT_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why an update of the list is not taken.
+/// Why an update of the list is rejected.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
-    /// It is not JSON, or not of the right form.
+    /// The update is not JSON or has an unexpected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A node's state is none.
-    #[error("server {server}: '{state}' is no standing")]
+    /// A node's state is unknown.
+    #[error("server {server}: unknown standing '{state}'")]
     UnknownState {
         /// The node.
         server: u64,
-        /// What the list says.
+        /// The state that the list gives.
         state: String,
     },
-    /// A node's address is none.
+    /// A node's address can't be parsed.
     #[error("server {server}: address: {error}")]
     InvalidAddress {
         /// The node.
         server: u64,
-        /// What is wrong with it.
+        /// Why it can't be parsed.
         error: AddrParseError,
     },
-    /// A node's weight is negative or no number.
-    #[error("server {server}: weight {weight}")]
+    /// A node's weight is negative or not finite.
+    #[error("server {server}: weight {weight} is negative or not finite")]
     InvalidWeight {
         /// The node.
         server: u64,
-        /// What the list says.
+        /// The weight that the list gives.
         weight: f64,
     },
 }
 
-/// An entry as the list sends it.
+/// An entry in the list's wire format.
 #[derive(Deserialize)]
 struct WireEntry {
     server: u64,
@@ -104,13 +104,13 @@
     }
 }
 
-/// Reads an update, all of it or nothing.
+/// Decodes an update. One invalid entry rejects the whole update.
 fn decode_entries(data: &str) -> Result<Vec<EndpointEntry>, EndpointListError> {
     let entries: Vec<WireEntry> = serde_json::from_str(data)?;
     entries.into_iter().map(EndpointEntry::try_from).collect()
 }
 
-/// Keeps the list's stream open and passes on its updates; while it is away, the last list stands.
+/// Keeps the list's stream open and passes its updates to the engine. While it is down, the last list stays in use.
 pub async fn watch(address: SocketAddr, director: Rc<Director>, sink: impl Fn(Input) + 'static) {
     let timeout = director.stream_timeout;
     let pool = Pool::new(address, director.limits.clone(), Duration::ZERO, 0);
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -1,7 +1,8 @@
-//! The driver of one engine: inputs from sockets, outputs to sockets, timers. One thread, no locks.
+//! The driver of one engine: socket I/O and timers, on a single thread without locks.
 //!
-//! [`EventLoop::handle`] is the one way in: it gives the engine an input and carries out what the engine says. It
-//! owns what is under way: viewers' requests, calls to nodes, nodes' event streams and players' streams.
+//! All inputs pass through [`EventLoop::handle`], which passes them to the engine and executes the engine's outputs.
+//! The event loop owns everything in flight: viewers' requests, calls to nodes, nodes' event streams and players'
+//! streams.
 
 use crate::director::Director;
 use crate::node::{NodeConnections, calls, events};
@@ -20,16 +21,16 @@
 use std::rc::Rc;
 use tracing::{debug, info};
 
-/// A node, and the task that keeps its event stream open.
+/// A node's connections, and the task that keeps its event stream open.
 struct WatchedNode {
     connections: Rc<NodeConnections>,
-    /// Dropped with the node: the stream is closed.
+    /// Dropping the task closes the stream.
     _watch: Task<()>,
 }
 
-/// One director's engine and all that it has under way.
+/// One director's engine and everything that it has in flight.
 pub struct EventLoop {
-    /// The director that it runs.
+    /// The director's settings.
     pub director: Rc<Director>,
     /// The open event streams of players.
     pub player_streams: PlayerStreams,
@@ -42,7 +43,7 @@
     timeout_driver: TimeoutDriver,
 }
 
-/// A viewer's request that waits. Dropped without an answer, it tells the engine that the viewer has left.
+/// A viewer's pending request. Dropping it before the answer reports to the engine that the viewer has left.
 pub struct PendingRequest {
     event_loop: Rc<EventLoop>,
     request_id: RequestId,
@@ -50,7 +51,7 @@
 }
 
 impl PendingRequest {
-    /// Waits for the answer; none where the event loop is being taken down.
+    /// Waits for the answer. Returns `None` if the event loop is being dropped.
     pub async fn answer(self) -> Option<Answer> {
         self.answer.recv().await.ok()
     }
@@ -68,7 +69,7 @@
 }
 
 impl EventLoop {
-    /// Starts an engine's timers on an executor.
+    /// Creates the event loop of an engine and spawns its timer task on the executor.
     pub fn start(
         executor: Rc<LocalExecutor<'static>>,
         engine: Engine,
@@ -89,12 +90,12 @@
         event_loop
     }
 
-    /// The executor that all of it runs on.
+    /// The executor that runs the event loop's tasks.
     pub fn executor(&self) -> &Rc<LocalExecutor<'static>> {
         &self.executor
     }
 
-    /// Gives the engine an input and carries out what it says.
+    /// Passes an input to the engine and executes the resulting outputs.
     pub fn handle(self: &Rc<EventLoop>, input: Input) {
         let now = shalewall_clock::now();
         self.engine.borrow_mut().handle(now, input);
@@ -102,13 +103,13 @@
         self.timeout_driver.update(self.next_timeout());
     }
 
-    /// A function that gives inputs to this event loop, for tasks that need no more of it.
+    /// Returns a function that passes inputs to this event loop, for tasks that need nothing else of it.
     pub fn input_sink(self: &Rc<EventLoop>) -> impl Fn(Input) + 'static {
         let event_loop = self.clone();
         move |input| event_loop.handle(input)
     }
 
-    /// A viewer asks for a session.
+    /// Passes a viewer's request for a session to the engine.
     pub fn request_session(self: &Rc<EventLoop>, request: SessionRequest) -> PendingRequest {
         let request_id = RequestId(self.next_request.get());
         self.next_request.set(request_id.0 + 1);
@@ -126,19 +127,19 @@
         pending
     }
 
-    /// How many sessions there are, by what is under way.
+    /// Number of sessions by state.
     pub fn session_counts(&self) -> SessionCounts {
         self.engine.borrow().session_counts()
     }
 
-    /// Sessions of a tenant, `limit` at most.
+    /// Up to `limit` sessions of a tenant.
     pub fn sessions_of(&self, tenant: &str, limit: usize) -> Vec<SessionSummary> {
         self.engine.borrow().tenant_sessions(tenant, limit)
     }
 
     fn carry_out_outputs(self: &Rc<EventLoop>) {
         loop {
-            // Bound to a name, so that the borrow ends before the output is carried out.
+            // A separate statement, so that the borrow of the engine ends before the output is executed.
             let output = self.engine.borrow_mut().poll_output();
             let Some(output) = output else { return };
             self.carry_out(output);
@@ -188,7 +189,7 @@
         address: SocketAddr,
         kind: CallKind,
     ) {
-        // A call before its node is watched, or after: on connections of its own.
+        // A node that is not watched has no shared connections, so the call gets its own.
         let connections = self
             .connections_of(server)
             .unwrap_or_else(|| self.new_connections(server, address));
@@ -232,7 +233,7 @@
         self.engine.borrow().poll_timeout()
     }
 
-    /// Calls the engine's timers when they are due.
+    /// Runs the engine's timers when they are due.
     async fn run_timers(self: Rc<EventLoop>) {
         let handle_timeout = || {
             let now = shalewall_clock::now();
@@ -244,7 +245,7 @@
     }
 }
 
-/// Logs what the engine tells for the record.
+/// Logs the outputs that need no other action.
 fn log_output(output: Output) {
     match output {
         Output::MigrationFinished {
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,13 +1,13 @@
-//! The session service on sockets: one director, its viewers, its media nodes and the endpoint list.
+//! The network layer of one director: connections to its viewers, its media nodes and the endpoint list.
 //!
-//! [`EventLoop`](event_loop::EventLoop) drives one [`shalewall_engine::Engine`]: it gives it what happens and carries
-//! out what it says. What happens comes from [`viewer_api`] and `player_events` on the viewers' side, from [`node`] on
-//! the media nodes' and from [`endpoint_list`]; they know the event loop, or no more than a sink for inputs. In a
-//! hosted service [`tenants`] holds what is known of the tenants, `tenant_sync` brings it up to date and
-//! `usage_reports` tells the administration API. [`Server`] puts them together.
+//! [`EventLoop`](event_loop::EventLoop) drives one [`shalewall_engine::Engine`]: it passes inputs to the engine and
+//! executes the engine's outputs. Inputs come from [`viewer_api`] and `player_events` (viewers), [`node`] (media
+//! nodes) and [`endpoint_list`]; each of them holds the event loop or only an input sink. In a hosted service
+//! [`tenants`] holds the director's state of its tenants, `tenant_sync` keeps it up to date and `usage_reports` sends
+//! usage reports to the administration API. [`Server`] assembles the parts.
 //!
-//! This crate knows HTTP, JSON and sockets. It does not decide: a request is answered by the engine, a node chosen by
-//! the module.
+//! This crate handles HTTP, JSON and sockets and makes no decisions: the engine decides how a request is answered, and
+//! the `shalewall` crate selects the node.
 
 #![deny(missing_docs)]
 
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -1,5 +1,5 @@
-//! Media nodes as a director meets them: [`calls`] to them, and one stream of [`events`] from each. The protocol is
-//! in `docs/protocol.md`.
+//! The protocol between a director and its media nodes: [`calls`] to a node, and a stream of [`events`] from each node.
+//! `docs/protocol.md` specifies it.
 
 pub mod calls;
 pub mod events;
@@ -10,21 +10,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Idle connections to a node are kept for less than nodes keep theirs, so that few calls meet a closing one.
+/// How long an idle connection to a node is kept. Shorter than the nodes' own timeout, so that a call rarely reuses a
+/// connection that the node is just closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Idle connections to one node at most.
+/// Maximum number of idle connections to one node.
 const MAX_IDLE: usize = 64;
 
 /// The connections to one node.
 pub struct NodeConnections {
     server: ServerId,
     pool: Pool,
-    /// The node's address as requests name it.
+    /// The node's address, as the `Host` field of requests.
     host: String,
 }
 
 impl NodeConnections {
-    /// None is opened before it is needed.
+    /// Creates the connections of a node; each is opened when a call needs it.
     pub fn new(server: ServerId, address: SocketAddr, limits: &Limits) -> NodeConnections {
         NodeConnections {
             server,
--- a/crates/server/src/node/calls.rs
+++ b/crates/server/src/node/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to a node: the engine's call as an HTTP request, and the response as the engine's result.
+//! Sends the engine's calls to a node as HTTP requests and converts the responses to the engine's results.
 
 use super::NodeConnections;
 use crate::director::Director;
@@ -9,17 +9,17 @@
 use shalewall_http::head::Fields;
 use shalewall_migration::ticket::{TicketKey, Validity};
 
-/// A ticket is good for so long: clocks of directors and nodes may differ by less.
+/// Lifetime of a migration ticket. It must exceed the clock skew between directors and nodes.
 const TICKET_LIFETIME_MS: u64 = 5_000;
 
-/// Carries out one call. Waits as long as it is let; dropped, it closes its connection.
+/// Executes one call, without a timeout. Dropping the future closes the connection.
 pub async fn call(
     connections: &NodeConnections,
     director: &Director,
     kind: &CallKind,
 ) -> CallResult {
     let Some(request) = NodeRequest::of(kind, director, connections.server) else {
-        return CallResult::NotStarted("this front has no key for tickets".into());
+        return CallResult::NotStarted("the director has no ticket key".into());
     };
     let body = request.body.as_ref().map(Value::to_string);
     let content = body
@@ -41,7 +41,7 @@
     }
 }
 
-/// A call as the protocol with nodes has it.
+/// A call in the form of the node protocol.
 struct NodeRequest {
     method: &'static str,
     target: String,
@@ -49,7 +49,7 @@
 }
 
 impl NodeRequest {
-    /// None where the call needs a ticket and the director has no key for one.
+    /// Returns `None` if the call needs a ticket and the director has no ticket key.
     fn of(kind: &CallKind, director: &Director, server: ServerId) -> Option<NodeRequest> {
         Some(match kind {
             CallKind::SetUpSession {
@@ -172,7 +172,7 @@
     }
 }
 
-/// `streams=7, link=0.4, uplink=1.2`; what is missing or no number is left out.
+/// Parses a load report such as `streams=7, link=0.4, uplink=1.2`. Missing and invalid values are left out.
 fn load_report(fields: &Fields) -> LoadReport {
     let mut report = LoadReport::default();
     let text = fields.get("shalewall-load").unwrap_or_default();
--- a/crates/server/src/node/events.rs
+++ b/crates/server/src/node/events.rs
@@ -1,4 +1,4 @@
-//! A node's event stream: kept open, and what it tells decoded for the engine.
+//! Keeps a node's event stream open and decodes its events for the engine.
 
 use super::NodeConnections;
 use crate::director::Director;
@@ -14,24 +14,24 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// First pause between attempts at an event stream; each one doubles it.
+/// Delay before the first retry of an event stream; it doubles with each failed attempt.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
-/// Longest pause between attempts.
+/// Maximum delay between attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// One event holds at most so many bytes: a snapshot of all sessions of a node.
+/// Maximum size of one event, enough for a snapshot of all sessions of a node.
 const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 /// How an attempt at an event stream ended.
 enum StreamEnd {
-    /// It was open for a while.
+    /// It was open and ended.
     Closed,
-    /// The connection was refused: the node's process is gone.
+    /// The connection was refused, which means that the node's process has ended.
     Refused,
-    /// It never opened, or what came on it was not understood.
+    /// It could not be opened, or its snapshot could not be decoded.
     Failed,
 }
 
-/// Keeps a node's event stream open and passes on what it tells.
+/// Keeps a node's event stream open and passes its events to the engine.
 pub async fn watch(
     connections: Rc<NodeConnections>,
     director: Rc<Director>,
@@ -64,7 +64,8 @@
     let connection = match with_timeout(timeout, connections.pool.connect()).await {
         None => return StreamEnd::Failed,
         Some(Ok(connection)) => connection,
-        // Only this is proof. Out of descriptors, or without a route, a director knows nothing of its nodes.
+        // Only a refused connection proves that the process has ended. A lack of descriptors or of a route says nothing
+        // about the node.
         Some(Err(CallError::NotConnected(ConnectErrorKind::Refused, _))) => {
             return StreamEnd::Refused;
         }
@@ -103,7 +104,7 @@
     }
 }
 
-/// False where the snapshot is not understood.
+/// Returns `false` if the snapshot can't be decoded.
 fn pass_on_snapshot(
     server: ServerId,
     requested_at: Timestamp,
@@ -125,7 +126,7 @@
     true
 }
 
-/// A session as a node's snapshot tells of it.
+/// A session in a node's snapshot.
 #[derive(Deserialize)]
 struct SnapshotEntry {
     session: u64,
--- a/crates/server/src/offers.rs
+++ b/crates/server/src/offers.rs
@@ -1,4 +1,4 @@
-//! The open event streams of players, one for a session: where offers to migrate are put.
+//! The open event streams of players, one per session, which deliver migration offers.
 
 use async_channel::{Receiver, Sender};
 use shalewall::SessionId;
@@ -6,18 +6,18 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
-/// Events that wait for one player; it is offered again what it missed.
+/// Maximum number of events queued for one player. Events beyond it are dropped; the engine repeats a lost offer.
 const MAX_WAITING_EVENTS: usize = 8;
 
-/// An event for a player, as its stream carries it.
+/// A server-sent event for a player.
 pub struct PlayerEvent {
-    /// Kind of the event.
+    /// The event's type.
     pub kind: &'static str,
-    /// Its data, JSON.
+    /// The event's data, as JSON.
     pub data: String,
 }
 
-/// Distinguishes the streams that were opened for a session one after the other.
+/// Distinguishes successive streams of the same session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamId(u64);
 
@@ -26,7 +26,7 @@
     sender: Sender<PlayerEvent>,
 }
 
-/// The open streams, one for a session: the last one that was opened.
+/// The open streams by session. A session has at most one, the stream opened last.
 #[derive(Default)]
 pub struct PlayerStreams {
     open: RefCell<HashMap<SessionId, PlayerStream>>,
@@ -34,7 +34,7 @@
 }
 
 impl PlayerStreams {
-    /// Opens a stream in place of the one before.
+    /// Opens a stream, which replaces the session's previous one.
     pub fn open(&self, session: SessionId) -> (StreamId, Receiver<PlayerEvent>) {
         let id = StreamId(self.next_id.get());
         self.next_id.set(id.0 + 1);
@@ -44,7 +44,7 @@
         (id, receiver)
     }
 
-    /// Closes a stream. False where another one was opened in its place, or the session is over.
+    /// Closes a stream. Returns `false` if it was already replaced by another one or its session has ended.
     pub fn close(&self, session: SessionId, id: StreamId) -> bool {
         let mut open = self.open.borrow_mut();
         let is_open = open.get(&session).is_some_and(|stream| stream.id == id);
@@ -54,13 +54,13 @@
         is_open
     }
 
-    /// Offers the player another node to fetch from.
+    /// Sends the player an offer to fetch the stream from another node.
     pub fn offer_migration(&self, session: SessionId, epoch: Epoch, media: &str) {
         let data = serde_json::json!({ "epoch": epoch.0, "media": media });
         self.send(session, "offer", data.to_string());
     }
 
-    /// The session is over: its stream says so and ends.
+    /// Reports the session's end to the player and closes the stream.
     pub fn end_session(&self, session: SessionId) {
         self.send(session, "over", "{}".to_string());
         self.open.borrow_mut().remove(&session);
@@ -68,7 +68,7 @@
 
     fn send(&self, session: SessionId, kind: &'static str, data: String) {
         if let Some(stream) = self.open.borrow().get(&session) {
-            // Where the player has not read so many events, this one is offered again.
+            // If the queue is full, this event is dropped; the engine offers the migration again.
             let _ = stream.sender.try_send(PlayerEvent { kind, data });
         }
     }
--- a/crates/server/src/player_events.rs
+++ b/crates/server/src/player_events.rs
@@ -1,4 +1,4 @@
-//! Players that can be offered another node: their event streams and what they report, as `docs/protocol.md` has it.
+//! Event streams and reports of players that support migration. `docs/protocol.md` specifies them.
 
 use crate::event_loop::EventLoop;
 use crate::offers::{PlayerEvent, StreamId};
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A stream without events carries a keep-alive this often.
+/// Interval of keep-alives on a stream without events.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Held by a stream. When it goes, its player can't be offered another node any more, unless it has opened another
-/// stream.
+/// An open event stream. Dropping it reports to the engine that the player can no longer receive migration offers,
+/// unless the player has opened another stream.
 struct OpenStream {
     event_loop: Rc<EventLoop>,
     session: SessionId,
@@ -39,7 +39,7 @@
 }
 
 impl OpenStream {
-    /// The next event, or a keep-alive where none comes; nothing once the session is over.
+    /// The next event, or a keep-alive if none arrives within the interval. Returns `None` once the session has ended.
     async fn next_bytes(&self) -> Option<Vec<u8>> {
         let keep_alive = async {
             Timer::after(KEEP_ALIVE_INTERVAL).await;
@@ -105,7 +105,7 @@
     buffer_ms: u32,
 }
 
-/// `POST /sessions/{session}/{report}`. None: there is no such report.
+/// Handles `POST /sessions/{session}/{report}`. Returns `None` if there is no such report.
 pub fn take_report(
     event_loop: &Rc<EventLoop>,
     session: SessionId,
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,4 +1,4 @@
-//! One director on its sockets, put together from its settings.
+//! Assembles a director from its settings and runs it.
 
 use crate::accept::accept_connections;
 use crate::director::Director;
@@ -24,17 +24,17 @@
 use thiserror::Error;
 use tracing::info;
 
-/// How often a director that is told to end looks whether it may.
+/// How often a graceful shutdown checks whether it is complete.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The last answers are on their way out for so long.
+/// Delay before exit in which the last answers are written.
 const LAST_ANSWERS: Duration = Duration::from_millis(50);
-/// Bits of an incarnation.
+/// Limits an incarnation to 14 bits.
 const INCARNATION_MASK: i64 = 0x3fff;
 
 /// Why a director can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The socket can't be opened, or the token of the administration API not be read.
+    /// The socket can't be opened, or the token for the administration API can't be read.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The file of the ticket key can't be read.
@@ -42,38 +42,38 @@
     KeyUnreadable {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// Why it can't be read.
         error: io::Error,
     },
-    /// The file of the ticket key holds no key.
+    /// The file of the ticket key does not contain a valid key.
     #[error("{}: {error}", file.display())]
     InvalidKey {
         /// The file.
         file: PathBuf,
-        /// What is wrong with it.
+        /// Why it is invalid.
         error: InvalidTicketKey,
     },
 }
 
-/// A director that listens.
+/// A running director.
 pub struct Server {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     event_loop: Rc<EventLoop>,
     api: Rc<ViewerApi>,
     accepting: Task<()>,
-    /// Sessions that play are waited for so long at the end.
+    /// Maximum time that a graceful shutdown waits for playing sessions.
     drain_timeout: Duration,
 }
 
 impl Server {
-    /// Starts a director on an executor; it runs as long as that does.
+    /// Starts a director on an executor. It runs until the executor is dropped.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         plan: &ServerConfig,
     ) -> Result<Server, StartError> {
         let now = shalewall_clock::now();
-        // Starts within some hours of each other differ in their seconds.
+        // Seconds since 1970 modulo 2^14, so starts within four and a half hours of each other have distinct values.
         let incarnation = ((now.as_micros() / 1_000_000) & INCARNATION_MASK) as u16;
         let settings = &plan.front;
         let listener = TcpListener::bind(settings.listen)?;
@@ -122,8 +122,9 @@
         })
     }
 
-    /// Serves until the process is told to end (SIGTERM or SIGINT); told twice, it ends at once. It takes nothing
-    /// new then, answers every request that waits, and gives sessions that play their time.
+    /// Serves until SIGTERM or SIGINT, then shuts down gracefully: accepts no connections and rejects new sessions,
+    /// answers all waiting requests, and waits up to the drain timeout for playing sessions to end. A second signal
+    /// ends the wait.
     pub async fn run_until_signal(self) -> io::Result<()> {
         let mut signals = Signals::new([Signal::Term, Signal::Int])?;
         signals.next().await;
@@ -141,7 +142,7 @@
     }
 }
 
-/// Waits until no request waits, and nothing plays or the time for that is up.
+/// Waits until no request is waiting and either no session is left or the timeout has passed.
 async fn drain(event_loop: &EventLoop, timeout: Duration) {
     let deadline = Instant::now() + timeout;
     loop {
@@ -155,7 +156,7 @@
     }
 }
 
-/// The tenants of a hosted service, and how its administration API is reached.
+/// The tenants of a hosted service, and the settings for its administration API.
 struct Hosted {
     tenants: Rc<Tenants>,
     hosting: Hosting,
@@ -177,7 +178,7 @@
         })
     }
 
-    /// Spawns what keeps the tenants up to date and reports their sessions.
+    /// Spawns the tasks that synchronize the tenants and report their usage.
     fn spawn_sync(&self, executor: &Rc<LocalExecutor<'static>>, event_loop: &Rc<EventLoop>) {
         let tenants = &self.tenants;
         let reporter = UsageReporter::new(
@@ -197,7 +198,7 @@
     }
 }
 
-/// The key of migration tickets, where the site's sessions are moved.
+/// Reads the key for migration tickets if the site migrates sessions.
 fn ticket_key(plan: &ServerConfig) -> Result<Option<TicketKey>, StartError> {
     match &plan.front.ticket_key_file {
         Some(file) if plan.site.moves.is_some() => read_ticket_key(file).map(Some),
@@ -205,7 +206,7 @@
     }
 }
 
-/// Reads a key from its file: 32 bytes in hexadecimal.
+/// Reads a key of 32 bytes in hexadecimal from a file.
 fn read_ticket_key(file: &Path) -> Result<TicketKey, StartError> {
     let text = std::fs::read_to_string(file).map_err(|error| StartError::KeyUnreadable {
         file: file.to_path_buf(),
--- a/crates/server/src/session_request.rs
+++ b/crates/server/src/session_request.rs
@@ -1,4 +1,4 @@
-//! A viewer's request for a session, decoded and checked.
+//! Decodes and validates a viewer's request for a session.
 
 use crate::connections::TENANT_FIELD;
 use serde::Deserialize;
@@ -7,31 +7,31 @@
 use shalewall_http::server::Request;
 use thiserror::Error;
 
-/// Names are so long at most, in bytes.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 256;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1e3;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Why a request for a session is not understood.
+/// Why a request for a session is invalid.
 #[derive(Debug, Error)]
 pub enum InvalidRequest {
-    /// It is not JSON, or not of the right form.
+    /// The content is not JSON or has an unexpected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Head and content name different tenants.
+    /// The header field and the content name different tenants.
     #[error("head and content name different tenants")]
     TenantMismatch,
-    /// A name is empty or too long.
+    /// A name is empty or longer than `MAX_NAME_BYTES`.
     #[error("viewer, tenant, class and title take 1 to {MAX_NAME_BYTES} bytes")]
     NameLength,
-    /// A time is negative, too long or no number.
+    /// A time is negative, too long or not finite.
     #[error("times have to be from 0 to 1e9")]
     TimeOutOfRange,
 }
 
-/// What a viewer sends. Unknown members are passed over.
+/// A viewer's request in its wire format. Unknown members are ignored.
 #[derive(Deserialize)]
 struct WireRequest {
     viewer: String,
@@ -54,10 +54,10 @@
     }
 }
 
-/// Reads a viewer's request for a session.
+/// Decodes a viewer's request for a session.
 pub fn decode(request: &Request) -> Result<SessionRequest, InvalidRequest> {
     let mut wire: WireRequest = serde_json::from_slice(&request.body)?;
-    // In the head, so that it is known before the content is read; in the content for those who say it there.
+    // The header field makes the tenant known before the content is read; clients may name it in the content instead.
     if let Some(in_head) = request.head.fields.get(TENANT_FIELD) {
         if wire
             .tenant
@@ -83,7 +83,7 @@
     })
 }
 
-/// A length of time in a unit of so many microseconds.
+/// Converts a duration, given in units of `micros_per_unit` microseconds.
 fn time_delta(
     time: Option<f64>,
     micros_per_unit: f64,
--- a/crates/server/src/tenant_sync.rs
+++ b/crates/server/src/tenant_sync.rs
@@ -1,5 +1,6 @@
-//! Tenants of a hosted service, as they are rolled out to this director: changes are fetched from the administration
-//! API by number, read whole, and applied between two requests. Cut off, the director goes on with the last it had.
+//! Synchronizes the tenants of a hosted service from the administration API. Changes are fetched by number with long
+//! polling, decoded completely, and applied between two requests. While the API is unreachable the director keeps its
+//! last state.
 
 use crate::admin_client::{AdminCallError, AdminClient};
 use crate::event_loop::EventLoop;
@@ -16,16 +17,16 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// A call that finds no changes waits for some at the other side for so long.
+/// How long the API holds a call open while there are no changes.
 const LONG_POLL: Duration = Duration::from_secs(5);
-/// What such a call may take beyond that.
+/// Time added to the long poll for a call's timeout.
 const CALL_MARGIN: Duration = Duration::from_secs(2);
-/// After a call that failed.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// All tenants of the service, with a hundred thousand titles or so.
+/// Maximum size of an answer, enough for all tenants of a service with about 100,000 titles.
 const MAX_CHANGES_BYTES: usize = 64 << 20;
 
-/// The tenants that have changed, as they are now.
+/// The current state of the tenants that have changed.
 #[derive(Deserialize)]
 struct Changes {
     /// Number of the last change.
@@ -38,12 +39,12 @@
     event_loop: Rc<EventLoop>,
     tenants: Rc<Tenants>,
     admin: AdminClient,
-    /// Tenants that are being deleted: each task ends the sessions when their time is over.
+    /// Tenants that are being deleted. Each task ends the tenant's sessions at the deadline.
     expirations: BTreeMap<TenantId, Task<()>>,
 }
 
 impl TenantSync {
-    /// `token`: what the API knows this director by.
+    /// `token` is the director's bearer token for the API.
     pub fn new(
         event_loop: Rc<EventLoop>,
         tenants: Rc<Tenants>,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Fetches and applies changes for as long as it is polled.
+    /// Fetches and applies changes forever.
     pub async fn run(mut self) {
         loop {
             match self.fetch_changes().await {
@@ -89,7 +90,7 @@
         Ok(serde_json::from_slice(&answer.body)?)
     }
 
-    /// Admission and engine hear of all of it in one turn: no request is decided in between.
+    /// Updates the engine and admission control in one step, so that no request is decided in between.
     fn apply(&mut self, changes: Changes) {
         let now = shalewall_clock::now();
         let updates = changes.tenants.iter().map(update_of).collect();
@@ -109,7 +110,7 @@
     }
 }
 
-/// Ends a tenant's sessions when their time is over; `until_ms`: unix time, milliseconds.
+/// Ends a tenant's sessions at `until_ms`, in milliseconds of Unix time.
 fn expire_sessions(
     event_loop: Rc<EventLoop>,
     tenant: &TenantId,
--- a/crates/server/src/tenant_terms.rs
+++ b/crates/server/src/tenant_terms.rs
@@ -1,4 +1,4 @@
-//! What is agreed with a tenant, as the engine is told.
+//! Converts a tenant's terms from the administration API to the engine's types.
 
 use shalewall::{ClassSettings, Idempotency, ServerId, TimeDelta};
 use shalewall_engine::{ClassTerms, TenantTerms, TenantUpdate, TitlePlacement};
@@ -6,7 +6,7 @@
 use shalewall_tenancy::terms::{Class, Fleet};
 use std::collections::BTreeMap;
 
-/// A tenant of the administration API as a change for the engine.
+/// Converts a tenant of the administration API to an update for the engine.
 pub fn update_of(tenant: &Tenant) -> TenantUpdate {
     let is_deleted = matches!(tenant.state, TenantState::Deleted { .. });
     TenantUpdate {
--- a/crates/server/src/tenants.rs
+++ b/crates/server/src/tenants.rs
@@ -1,7 +1,7 @@
-//! What a director knows of the tenants of a hosted service: whom to admit, and whose connections are open.
+//! A director's state of the tenants of a hosted service: admission control and open connections.
 //!
-//! It is brought up to date by `tenant_sync`, asked by the engine through [`TenantGate`], and reported to the
-//! administration API by `usage_reports`.
+//! `tenant_sync` keeps it up to date, the engine queries it through [`TenantGate`], and `usage_reports` sends it to
+//! the administration API.
 
 use shalewall::{TimeDelta, Timestamp};
 use shalewall_engine::{Admission, AdmissionControl};
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Retry-After before the first tenants are known, microseconds.
+/// Retry-After for requests that arrive before the first tenants are known.
 const INITIAL_RETRY_AFTER: TimeDelta = TimeDelta::from_secs(1);
 
-/// What a director knows of its tenants.
+/// A director's state of its tenants.
 pub struct Tenants {
     admission: RefCell<TenantAdmission>,
     connections: RefCell<Connections>,
@@ -24,7 +24,8 @@
 }
 
 impl Tenants {
-    /// Knows no tenant yet. `set_ups_per_s`, `sessions` and `connections`: what the director has for all of them.
+    /// Creates the state without any tenants. `set_ups_per_s`, `sessions` and `connections` are the director's total
+    /// capacity, which its tenants share.
     pub fn new(set_ups_per_s: f64, sessions: usize, connections: usize) -> Rc<Tenants> {
         let capacity = Capacity {
             set_ups_per_s,
@@ -39,37 +40,37 @@
         })
     }
 
-    /// Number of the last change that is applied here; 0: nothing is known yet.
+    /// Number of the last applied change, or 0 if no change has been applied yet.
     pub fn change_number(&self) -> u64 {
         self.change_number.get()
     }
 
-    /// All changes up to this one are applied.
+    /// Records that all changes up to `number` are applied.
     pub fn set_change_number(&self, number: u64) {
         self.change_number.set(number);
     }
 
-    /// Whether the administration API could be reached last.
+    /// Whether the last call to the administration API succeeded.
     pub fn is_connected(&self) -> bool {
         self.is_connected.get()
     }
 
-    /// Sets whether the API could be reached. Returns what it was before.
+    /// Sets whether the last call to the API succeeded. Returns the previous value.
     pub fn set_connected(&self, is_connected: bool) -> bool {
         self.is_connected.replace(is_connected)
     }
 
-    /// Whether nothing is known yet: then nobody is unknown.
+    /// Whether no change has been applied yet. Until then no tenant can be rejected as unknown.
     pub fn is_empty(&self) -> bool {
         self.change_number() == 0
     }
 
-    /// The book of open connections.
+    /// The open connections by tenant.
     pub fn connections(&self) -> RefMut<'_, Connections> {
         self.connections.borrow_mut()
     }
 
-    /// Takes over what a change says of a tenant.
+    /// Applies a changed tenant to admission control and connection quotas.
     pub fn update(&self, now: Timestamp, tenant: &Tenant) {
         let id = &tenant.id;
         let share = tenant.terms.share;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Sessions that are held here, by tenant.
+    /// Number of sessions in this director, by tenant.
     pub fn session_counts(&self) -> BTreeMap<String, usize> {
         let admission = self.admission.borrow();
         let counts = admission.sessions_by_tenant();
@@ -125,7 +126,7 @@
     TenantId::try_from(name?.to_string()).ok()
 }
 
-/// What the engine asks whether a request is admitted.
+/// Admission control for the engine, by the tenants' quotas.
 pub struct TenantGate(pub Rc<Tenants>);
 
 impl AdmissionControl for TenantGate {
--- a/crates/server/src/usage_reports.rs
+++ b/crates/server/src/usage_reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the administration API of what this director holds of its tenants.
+//! Reports the director's sessions by tenant to the administration API.
 
 use crate::admin_client::AdminClient;
 use crate::event_loop::EventLoop;
@@ -13,21 +13,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the API is told.
+/// Interval between reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// What a report may take.
+/// Timeout of one report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Sessions that one report lists at most.
+/// Maximum number of sessions listed in one report.
 const MAX_LISTED_SESSIONS: usize = 1000;
 
-/// What the API wants the next report to list.
+/// The API's answer: what the next report should list.
 #[derive(Default, Deserialize)]
 struct ReportAnswer {
-    /// Tenants whose sessions it wants: those that people look at.
+    /// Tenants whose sessions to list, because a user of the API is viewing them.
     sessions_of: Vec<String>,
 }
 
-/// Tells the API each second what a director holds of its tenants.
+/// Periodically reports the director's sessions by tenant to the API.
 pub struct UsageReporter {
     event_loop: Rc<EventLoop>,
     tenants: Rc<Tenants>,
@@ -35,7 +35,7 @@
 }
 
 impl UsageReporter {
-    /// `token`: what the API knows this director by.
+    /// `token` is the director's bearer token for the API.
     pub fn new(
         event_loop: Rc<EventLoop>,
         tenants: Rc<Tenants>,
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Reports for as long as it is polled.
+    /// Sends reports forever.
     pub async fn run(self) {
         let mut wanted = ReportAnswer::default();
         loop {
             Timer::after(REPORT_INTERVAL).await;
             let report = self.report(&wanted.sessions_of);
-            // One that is lost is followed by the next; that the API is away is told by the sync of tenants.
+            // A lost report is superseded by the next one, and tenant sync logs when the API is unreachable.
             let answer = self.admin.post("/usage", &report, REPORT_TIMEOUT).await;
             let answer = answer.ok();
             wanted = answer
--- a/crates/server/src/viewer_api.rs
+++ b/crates/server/src/viewer_api.rs
@@ -1,4 +1,4 @@
-//! The viewers' side: sessions asked for and ended, as `docs/protocol.md` has it.
+//! The HTTP API for viewers, which requests and ends sessions. `docs/protocol.md` specifies it.
 
 use crate::event_loop::EventLoop;
 use crate::tenants::Tenants;
@@ -13,16 +13,16 @@
 /// Answers viewers' requests.
 pub struct ViewerApi {
     event_loop: Rc<EventLoop>,
-    /// The tenants that this director follows, where it is shared by some.
+    /// The tenants of a hosted service; `None` for a director without tenants.
     tenants: Option<Rc<Tenants>>,
-    /// Told to end: no session is begun any more.
+    /// Set during a graceful shutdown: new sessions are rejected.
     is_shutting_down: Cell<bool>,
 }
 
-/// What a request names below `/sessions/`.
+/// The path of a request below `/sessions/`.
 struct SessionPath<'r> {
     session: Option<SessionId>,
-    /// What it names of the session.
+    /// The sub-resource of the session, if the path names one.
     part: Option<&'r str>,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl ViewerApi {
-    /// The API in front of an event loop.
+    /// Creates the API of an event loop.
     pub fn new(event_loop: Rc<EventLoop>, tenants: Option<Rc<Tenants>>) -> ViewerApi {
         ViewerApi {
             event_loop,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Begins no session any more.
+    /// Rejects new sessions from now on.
     pub fn shut_down(&self) {
         self.is_shutting_down.set(true);
     }
 
-    /// Answers one request.
+    /// Answers one HTTP request.
     pub async fn answer(self: Rc<ViewerApi>, request: Request) -> Reply {
         let head = &request.head;
         let path = SessionPath::of(head.path());
@@ -65,7 +65,7 @@
         match (head.method.as_str(), head.path(), path.session) {
             ("POST", "/sessions", _) => self.begin_session(&request).await,
             ("DELETE", _, Some(session)) => {
-                // Ending what has ended, or never was, is no error: it is as the viewer wants it.
+                // Idempotent: ending a session that has ended or never existed is not an error.
                 self.event_loop.handle(Input::EndSession { session });
                 Reply::new(204)
             }
@@ -89,7 +89,7 @@
 
     async fn begin_session(&self, request: &Request) -> Reply {
         if self.is_shutting_down.get() {
-            // Nothing was set up: another director may have it at once.
+            // Nothing was set up, so the viewer may retry at another director immediately.
             return problem(503, "this front is ending", None, Some(TimeDelta::ZERO));
         }
         let request = match session_request::decode(request) {
@@ -112,7 +112,7 @@
             "owed_ends": counts.unconfirmed_ends,
         });
         if let Some(tenants) = &self.tenants {
-            // As of which change, and whether later ones would be heard of.
+            // The last applied change, and whether later ones are being received.
             state["tenants"] = tenants.change_number().into();
             state["tenants_followed"] = tenants.is_connected().into();
         }
@@ -120,7 +120,7 @@
     }
 }
 
-/// A problem that names its session and says when to come back, where there are such.
+/// A problem document with the session's id and the retry delay, where they are known.
 fn problem(
     status: u16,
     detail: &str,
@@ -172,7 +172,7 @@
 fn rejection(session: Option<SessionId>, retry_after: Option<TimeDelta>) -> Reply {
     let reply = problem(503, "turned away, free to come back", session, retry_after);
     match retry_after {
-        // The field has whole seconds; the exact time is in the body.
+        // The field takes whole seconds; the body has the exact delay.
         Some(after) => reply.with_field(
             "Retry-After",
             ((after.as_micros() + 999_999) / 1_000_000).to_string(),
--- a/crates/store/src/change.rs
+++ b/crates/store/src/change.rs
@@ -1,4 +1,4 @@
-//! One change of a tenant, in one transaction with its history entry, its number and its idempotency key.
+//! Changes of tenants. Each is one transaction with its history entry, change number and idempotency key.
 
 use crate::tables::{
     CHANGES, HISTORY, KEYS, KeyRecord, TENANTS, decode, encode, get, last_change_number,
@@ -9,30 +9,30 @@
 use shalewall_tenancy::history::HistoryEntry;
 use shalewall_tenancy::tenant::{Tenant, TenantId};
 
-/// An idempotency key is remembered for at least so many later changes.
-const KEYS_REMEMBERED: u64 = 10_000;
+/// Minimum number of later changes for which an idempotency key is retained.
+const KEY_RETENTION_CHANGES: u64 = 10_000;
 
-/// A caller's key for a request that it may send more than once.
+/// A caller's idempotency key, under which it may repeat a request.
 #[derive(Clone, Copy, Debug)]
 pub struct IdempotencyKey<'a> {
-    /// The key, with what tells one caller's keys from another's.
+    /// The key, prefixed with the caller's identity so that keys of different callers are distinct.
     pub key: &'a str,
-    /// The request under the key: a second one under the same key has to be equal.
+    /// The request's content. A repetition under the same key must be equal.
     pub request: &'a str,
 }
 
-/// A change that was made, or had been made under the same idempotency key.
+/// The result of a change, or of a repetition under the same idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangeOutcome {
-    /// The tenant as it is now.
+    /// The tenant's current state.
     pub tenant: Tenant,
-    /// The change's number in the store; absent where the change had been made before.
+    /// The change's number in the store, or `None` if the request repeated an earlier change.
     pub change_number: Option<u64>,
 }
 
 impl Store {
-    /// Changes a tenant, or creates it. A request that comes again under its idempotency key is not carried out a
-    /// second time.
+    /// Changes a tenant, or creates it. A repeated request with the same idempotency key is not executed a second
+    /// time.
     pub fn change_tenant(
         &self,
         id: &TenantId,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Whether a key was used for this very request before. For another request it is an error.
+/// Whether the key was used for an equal request before. Returns an error if it was used for a different one.
 fn is_repeated(
     transaction: &WriteTransaction,
     id: &TenantId,
@@ -84,7 +84,7 @@
     Ok(true)
 }
 
-/// Writes a tenant and its new entry under the next change number, which is returned.
+/// Writes a tenant and its new history entry under the next change number. Returns that number.
 fn write_change(
     transaction: &WriteTransaction,
     tenant: &Tenant,
@@ -103,7 +103,7 @@
     Ok(number)
 }
 
-/// Remembers what a key was used for.
+/// Stores the change that a key was used for.
 fn remember_key(
     transaction: &WriteTransaction,
     key: IdempotencyKey<'_>,
@@ -121,15 +121,15 @@
     forget_old_keys(&mut keys, change_number)
 }
 
-/// Drops old keys once there are twice as many as are remembered, so that few changes pay for it.
+/// Removes expired keys once the table has twice the retained number, so that the cost is amortized.
 fn forget_old_keys(
     keys: &mut Table<'_, &'static str, &'static [u8]>,
     change_number: u64,
 ) -> Result<(), StoreError> {
-    if keys.len()? <= 2 * KEYS_REMEMBERED {
+    if keys.len()? <= 2 * KEY_RETENTION_CHANGES {
         return Ok(());
     }
-    let oldest = change_number.saturating_sub(KEYS_REMEMBERED);
+    let oldest = change_number.saturating_sub(KEY_RETENTION_CHANGES);
     keys.retain(|_, value| {
         decode::<KeyRecord>(value).is_ok_and(|record| record.change_number >= oldest)
     })?;
--- a/crates/store/src/check.rs
+++ b/crates/store/src/check.rs
@@ -1,5 +1,5 @@
-//! Verification of a whole store: every tenant has to be what its history replays to, and every change has to be
-//! in the tenant's history and in the order of all changes.
+//! Verification of a complete store: every tenant must equal the replay of its history, and every change must be in the
+//! tenant's history and in the order of all changes.
 
 use crate::tables::{CHANGES, HISTORY, TENANTS, decode};
 use crate::{Corruption, Store, StoreError};
@@ -8,19 +8,19 @@
 use shalewall_tenancy::tenant::Tenant;
 use std::collections::BTreeMap;
 
-/// How much a store holds.
+/// Numbers of rows in a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreSummary {
-    /// Tenants, with those that are gone.
+    /// Tenants, including deleted ones.
     pub tenants: usize,
     /// Changes of all tenants.
     pub changes: usize,
-    /// Tokens, with those that are revoked.
+    /// Tokens, including revoked ones.
     pub tokens: usize,
 }
 
 impl Store {
-    /// Reads everything, and fails at the first contradiction.
+    /// Reads everything. Returns an error for the first inconsistency.
     pub fn check(&self) -> Result<StoreSummary, StoreError> {
         let transaction = self.database.begin_read()?;
         let mut histories = read_histories(&transaction)?;
@@ -46,7 +46,7 @@
     }
 }
 
-/// All entries by tenant, in the order of their revisions.
+/// All history entries by tenant, in the order of their revisions.
 fn read_histories(
     transaction: &ReadTransaction,
 ) -> Result<BTreeMap<String, Vec<HistoryEntry>>, StoreError> {
@@ -64,7 +64,7 @@
     Ok(histories)
 }
 
-/// How often each tenant is named in the order of changes.
+/// Number of changes by tenant.
 fn count_changes(transaction: &ReadTransaction) -> Result<BTreeMap<String, usize>, StoreError> {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for row in transaction.open_table(CHANGES)?.iter()? {
@@ -74,7 +74,7 @@
     Ok(counts)
 }
 
-/// Compares a tenant with its history and with the number of its changes.
+/// Compares a tenant with its history and its number of changes.
 fn check_tenant(
     tenant: &Tenant,
     history: &[HistoryEntry],
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -1,8 +1,8 @@
 //! The open database file, reopened after a failed write.
 //!
-//! After a failed write (a full disk, say) redb refuses every further write until the database has been opened
-//! anew, which recovers the last committed state. Recovery itself needs room on the disk, so it is done on a copy,
-//! which replaces the file once it is open. Until there is room, reads go on from the database that is open.
+//! After a failed write, such as on a full disk, redb rejects all further writes until the database is reopened, which
+//! recovers the last committed state. Recovery needs disk space itself, so it runs on a copy, which replaces the file
+//! once it is open. Until there is enough space, reads use the database that is still open.
 
 use crate::StoreError;
 use crate::upgrade::upgrade;
@@ -14,17 +14,17 @@
 use std::path::{Path, PathBuf};
 use std::sync::{PoisonError, RwLock, RwLockReadGuard};
 
-/// Appended to the file's name for the copy that is recovered.
+/// Suffix of the file name of the copy on which recovery runs.
 const COPY_SUFFIX: &str = ".again";
 
-/// A database file that is opened again when an earlier write has failed.
+/// A database file that is reopened after a failed write.
 pub(crate) struct ReopeningDatabase {
     path: PathBuf,
     database: RwLock<Database>,
 }
 
 impl ReopeningDatabase {
-    /// Opens a file, or creates it, and upgrades its format.
+    /// Opens or creates a file and upgrades its format.
     pub fn open(path: &Path) -> Result<ReopeningDatabase, StoreError> {
         Ok(ReopeningDatabase {
             path: path.to_path_buf(),
@@ -32,12 +32,12 @@
         })
     }
 
-    /// A transaction that reads the last committed state.
+    /// Begins a transaction that reads the last committed state.
     pub fn begin_read(&self) -> Result<ReadTransaction, StoreError> {
         Ok(self.current().begin_read()?)
     }
 
-    /// A transaction that writes, on a database that is reopened first if it has to be.
+    /// Begins a write transaction. Reopens the database first if an earlier write has failed.
     pub fn begin_write(&self) -> Result<WriteTransaction, StoreError> {
         let attempt = self.current().begin_write();
         if !needs_reopening(&attempt) {
@@ -56,12 +56,12 @@
         Ok(database.begin_write()?)
     }
 
-    /// The database that is open. A poisoned lock does no harm: the value behind it is only ever replaced whole.
+    /// The open database. A poisoned lock is harmless, because the value is only replaced as a whole.
     fn current(&self) -> RwLockReadGuard<'_, Database> {
         self.database.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens a copy and puts it in the file's place. The file itself is not written to.
+    /// Opens a copy of the file and replaces the file with it. The file itself is not modified.
     fn reopen_from_copy(&self) -> Result<Database, StoreError> {
         let mut copy_name = OsString::from(&self.path);
         copy_name.push(COPY_SUFFIX);
@@ -89,7 +89,7 @@
     open_and_upgrade(to)
 }
 
-/// Makes a renaming in the directory of a file durable.
+/// Syncs the directory of a file, which makes a rename durable.
 fn sync_directory_of(file: &Path) -> Result<(), StoreError> {
     let parent = file.parent().filter(|path| !path.as_os_str().is_empty());
     let directory = parent.unwrap_or(Path::new("."));
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-/// Whether an earlier write has failed and closed the database to writing.
+/// Whether the database rejects writes because an earlier write has failed.
 fn needs_reopening<T>(attempt: &Result<T, TransactionError>) -> bool {
     matches!(
         attempt,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,27 +1,27 @@
-//! What can go wrong with a store. Whatever the error, nothing was changed.
+//! Errors of the store. An operation that returns an error has changed nothing.
 
 use crate::FORMAT_VERSION;
 use shalewall_tenancy::change::ChangeError;
 
-/// Why the store did not do what it was asked for.
+/// Why an operation of the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The tenant's state, or the change itself, does not allow it.
-    #[error("refused: {0}")]
+    #[error("change rejected: {0}")]
     Rejected(#[source] ChangeError),
     /// The idempotency key was used for another request.
     #[error("the idempotency key was used for another request")]
     IdempotencyKeyReused,
-    /// The file was written by a later version of the program; it was left as it is.
+    /// The file was written by a later version of the program. It is unchanged.
     #[error("the store is of version {found}, this program knows {FORMAT_VERSION} at most")]
     NewerFormat {
         /// The file's format.
         found: u64,
     },
-    /// The file is no store, is torn, or its parts contradict each other: restore an export.
+    /// The file is not a store, is truncated, or is inconsistent. It has to be restored from an export.
     #[error("the store is damaged: {0}")]
     Corrupt(#[source] Corruption),
-    /// The file can't be used now; reads may still work.
+    /// The file can't be used at present; reads may still work.
     #[error("the store can't be used: {0}")]
     Unavailable(#[source] StoreUnavailable),
 }
@@ -29,13 +29,13 @@
 /// What is damaged in a store, or in an export.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
-    /// The database found a page, a table or a file header that is not as it should be.
+    /// The database found an invalid page, table or file header.
     #[error("{0}")]
     Database(String),
-    /// A row is not the JSON that its table holds.
+    /// A row can't be decoded as its table's type.
     #[error("{0}")]
     Row(#[source] serde_json::Error),
-    /// A line of an export is not one.
+    /// A line of an export can't be decoded.
     #[error("line {line}: {error}")]
     ExportLine {
         /// The line's number, from 1.
@@ -44,14 +44,14 @@
         #[source]
         error: serde_json::Error,
     },
-    /// A change or a key names a tenant that is not there.
-    #[error("{tenant} is missing")]
+    /// A change or an idempotency key names a tenant that does not exist.
+    #[error("tenant {tenant} is missing")]
     MissingTenant {
         /// The tenant's id.
         tenant: String,
     },
-    /// An entry is stored under another tenant or revision than its own.
-    #[error("entry {revision} of {tenant} says it is another's")]
+    /// A history entry is stored under a tenant or revision other than its own.
+    #[error("history entry {revision} of tenant {tenant} names another tenant or revision")]
     MisplacedEntry {
         /// The id that it is stored under.
         tenant: String,
@@ -59,53 +59,53 @@
         revision: u64,
     },
     /// A change has no entry in its tenant's history.
-    #[error("{tenant} lacks {revision}")]
+    #[error("the history of tenant {tenant} has no revision {revision}")]
     MissingEntry {
         /// The tenant's id.
         tenant: String,
         /// The revision that the change made.
         revision: u64,
     },
-    /// A tenant's history has more or fewer entries than the order of changes names.
-    #[error("changes of {tenant} and its history differ in number")]
+    /// The number of a tenant's history entries differs from the number of its changes.
+    #[error("tenant {tenant} has different numbers of changes and history entries")]
     ChangeCountMismatch {
         /// The tenant's id.
         tenant: String,
     },
-    /// A tenant differs from what its history replays to.
-    #[error("{tenant} is not what its history comes to")]
+    /// A tenant differs from the replay of its history.
+    #[error("tenant {tenant} differs from the replay of its history")]
     ReplayMismatch {
         /// The tenant's id.
         tenant: String,
     },
-    /// There are entries or changes of a tenant that is not there.
-    #[error("there is a history of {tenant}, and no such tenant")]
+    /// There are history entries or changes of a tenant that does not exist.
+    #[error("there are history entries or changes of tenant {tenant}, which does not exist")]
     HistoryWithoutTenant {
         /// The id that they name.
         tenant: String,
     },
-    /// The entries of an export are not one tenant's complete history in order.
-    #[error("{tenant}: its entries are not whole")]
+    /// An export does not contain a tenant's complete history in order.
+    #[error("the history of tenant {tenant} is incomplete")]
     IncompleteHistory {
         /// The id that they name.
         tenant: String,
     },
 }
 
-/// Why a store can't be used now.
+/// Why a store can't be used at present.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreUnavailable {
-    /// The database can't read, write or lock its file: the disk is full, the file is in use, or the like.
+    /// The database can't read, write or lock its file, for example because the disk is full or the file is in use.
     #[error("{0}")]
     Database(#[source] redb::Error),
-    /// A file beside the database can't be read or written.
+    /// An operation on a file outside the database failed.
     #[error("{0}")]
     Io(#[source] std::io::Error),
     /// A value can't be encoded.
     #[error("{0}")]
     Encode(#[source] serde_json::Error),
-    /// An import needs a store that nothing was ever changed in.
-    #[error("only an empty store can be filled")]
+    /// The store to import into is not empty.
+    #[error("only an empty store can be imported into")]
     NotEmpty,
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-/// Tells damage of the file from what merely can't be done now.
+/// Separates corruption of the file from temporary failures.
 impl From<redb::Error> for StoreError {
     fn from(error: redb::Error) -> StoreError {
         match error {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Each step of redb has an error type of its own; all convert by `redb::Error`.
+/// Each redb operation has its own error type; all of them convert to `redb::Error`.
 macro_rules! from_redb {
     ($($error:ident),*) => {
         $(impl From<redb::$error> for StoreError {
--- a/crates/store/src/export.rs
+++ b/crates/store/src/export.rs
@@ -1,7 +1,7 @@
-//! A store written out as JSON lines, and read in again.
+//! Export of a store as JSON lines, and import.
 //!
-//! An export holds the format's version, then all history entries in the order in which they were made (tenants
-//! follow from them by replay), then the tokens, as hashes.
+//! An export contains the format version, then all history entries in the order of their changes (an import replays
+//! them to restore the tenants), then the tokens, as hashes.
 
 use crate::tables::{CHANGES, HISTORY, META, META_VERSION, TENANTS, TOKENS, decode, encode};
 use crate::{Corruption, FORMAT_VERSION, Store, StoreError, StoreSummary, StoreUnavailable};
@@ -22,7 +22,7 @@
 }
 
 impl Store {
-    /// Writes everything that the store holds, but for idempotency keys.
+    /// Writes the complete store except for idempotency keys.
     pub fn export(&self, out: &mut impl Write) -> Result<StoreSummary, StoreError> {
         let mut summary = StoreSummary::default();
         write_line(
@@ -57,7 +57,7 @@
         Ok(summary)
     }
 
-    /// Fills an empty store from an export, completely or not at all.
+    /// Imports an export into an empty store in one transaction, then checks the store.
     pub fn import(&self, lines: impl BufRead) -> Result<StoreSummary, StoreError> {
         if self.last_change_number()? > 0 {
             return Err(StoreError::Unavailable(StoreUnavailable::NotEmpty));
@@ -84,13 +84,13 @@
     Ok(())
 }
 
-/// An import under way within one transaction.
+/// An import in progress within one transaction.
 struct Import<'t> {
     transaction: &'t WriteTransaction,
     history: Table<'t, (&'static str, u64), &'static [u8]>,
     changes: Table<'t, u64, &'static str>,
     tokens: Table<'t, &'static str, &'static [u8]>,
-    /// Entries by tenant, to be replayed at the end.
+    /// History entries by tenant, which are replayed at the end.
     histories: BTreeMap<String, Vec<HistoryEntry>>,
     last_change_number: u64,
 }
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Writes the tenants that the entries replay to, and the version.
+    /// Replays the history entries and writes the resulting tenants and the format version.
     fn finish(self) -> Result<(), StoreError> {
         let mut tenants = self.transaction.open_table(TENANTS)?;
         for (tenant, entries) in self.histories {
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of the file, and the encoding of their rows.
+//! The database's tables, and the encoding of their rows.
 
 use crate::{Corruption, StoreError, StoreUnavailable};
 use redb::{ReadableTable, TableDefinition};
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use shalewall_tenancy::tenant::TenantId;
 
-/// Facts about the file itself, by name.
+/// Metadata of the file, by name.
 pub(crate) const META: TableDefinition<'_, &str, u64> = TableDefinition::new("meta");
 /// The row of [`META`] that holds the file's format.
 pub(crate) const META_VERSION: &str = "version";
@@ -14,7 +14,7 @@
 pub(crate) const TENANTS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("tenants");
 /// History entries by tenant and revision, as JSON.
 pub(crate) const HISTORY: TableDefinition<'_, (&str, u64), &[u8]> = TableDefinition::new("history");
-/// Since format 2: all changes by number, in the order in which they were made, each with its tenant's id.
+/// All changes in order, by change number, each with its tenant's id. Exists since format 2.
 pub(crate) const CHANGES: TableDefinition<'_, u64, &str> = TableDefinition::new("changes");
 /// Idempotency keys, each with its [`KeyRecord`] as JSON.
 pub(crate) const KEYS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("keys");
@@ -31,22 +31,22 @@
     pub tenant: TenantId,
     /// The revision that the change made.
     pub revision: u64,
-    /// What the caller sent under the key.
+    /// The content of the caller's request.
     pub request: String,
 }
 
-/// A row's value from its JSON.
+/// Decodes a row from JSON.
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(bytes).map_err(|error| Corruption::Row(error).into())
 }
 
-/// A row's JSON.
+/// Encodes a row as JSON.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
     serde_json::to_vec(value)
         .map_err(|error| StoreError::Unavailable(StoreUnavailable::Encode(error)))
 }
 
-/// The decoded row of a key, if there is one.
+/// Reads and decodes the row of a key, if there is one.
 pub(crate) fn get<T: DeserializeOwned>(
     table: &impl ReadableTable<&'static str, &'static [u8]>,
     key: &str,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The number of the last change; 0: there was none.
+/// The number of the last change, or 0 if there was none.
 pub(crate) fn last_change_number(
     changes: &impl ReadableTable<u64, &'static str>,
 ) -> Result<u64, StoreError> {
--- a/crates/store/src/tenants.rs
+++ b/crates/store/src/tenants.rs
@@ -7,23 +7,23 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// Tenants that have changed, as they are now.
+/// The current state of tenants that have changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangedTenants {
-    /// The number of the last change that they show.
+    /// The number of the last change that the tenants include.
     pub last_change_number: u64,
-    /// In the order of their ids.
+    /// The tenants in the order of their ids.
     pub tenants: Vec<Tenant>,
 }
 
 impl Store {
-    /// A tenant by its id, also one that is gone.
+    /// A tenant by its id, including deleted ones.
     pub fn tenant(&self, id: &TenantId) -> Result<Option<Tenant>, StoreError> {
         let transaction = self.database.begin_read()?;
         get(&transaction.open_table(TENANTS)?, id.as_str())
     }
 
-    /// At most `limit` tenants in the order of their ids, those after `after`.
+    /// Up to `limit` tenants in the order of their ids, starting after `after`.
     pub fn list_tenants(
         &self,
         after: Option<&TenantId>,
@@ -36,7 +36,7 @@
         rows.take(limit).map(|row| decode(row?.1.value())).collect()
     }
 
-    /// At most `limit` entries of a tenant's history, from a revision on.
+    /// Up to `limit` entries of a tenant's history, starting at `from_revision`.
     pub fn history(
         &self,
         id: &TenantId,
@@ -49,7 +49,7 @@
         rows.take(limit).map(|row| decode(row?.1.value())).collect()
     }
 
-    /// Tenants that have changed after the change of a number.
+    /// Tenants that have changed after the change with the given number.
     pub fn changed_since(&self, change_number: u64) -> Result<ChangedTenants, StoreError> {
         let transaction = self.database.begin_read()?;
         let changes = transaction.open_table(CHANGES)?;
@@ -72,13 +72,13 @@
         })
     }
 
-    /// The number of the last change; 0 in an empty store.
+    /// The number of the last change, or 0 in an empty store.
     pub fn last_change_number(&self) -> Result<u64, StoreError> {
         let transaction = self.database.begin_read()?;
         tables::last_change_number(&transaction.open_table(CHANGES)?)
     }
 
-    /// The format that the file says it has.
+    /// The format version recorded in the file.
     pub fn format_version(&self) -> Result<u64, StoreError> {
         let transaction = self.database.begin_read()?;
         let meta = transaction.open_table(META)?;
--- a/crates/store/src/tokens.rs
+++ b/crates/store/src/tokens.rs
@@ -7,7 +7,7 @@
 use shalewall_tenancy::token::Token;
 
 impl Store {
-    /// Writes a token under its id.
+    /// Stores a token under its id.
     pub fn put_token(&self, token: &Token) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
         transaction
@@ -17,13 +17,13 @@
         Ok(())
     }
 
-    /// A token by its id, also one that is revoked.
+    /// A token by its id, including revoked ones.
     pub fn token(&self, id: &str) -> Result<Option<Token>, StoreError> {
         let transaction = self.database.begin_read()?;
         get(&transaction.open_table(TOKENS)?, id)
     }
 
-    /// All tokens by id. There are as many as people and programs that administer, so no pages are needed.
+    /// All tokens in the order of their ids. There are few, one for each person or program, so there is no paging.
     pub fn tokens(&self) -> Result<Vec<Token>, StoreError> {
         let transaction = self.database.begin_read()?;
         let tokens = transaction.open_table(TOKENS)?;
@@ -31,7 +31,8 @@
         rows.map(|row| decode(row?.1.value())).collect()
     }
 
-    /// Revokes a token; one that is revoked keeps its first time. False: there is none of that id.
+    /// Revokes a token. A token that is already revoked keeps its revocation time. Returns `false` if there is no token
+    /// with this id.
     pub fn revoke_token(&self, id: &str, now: UnixMillis) -> Result<bool, StoreError> {
         let Some(mut token) = self.token(id)? else {
             return Ok(false);
--- a/crates/store/src/upgrade.rs
+++ b/crates/store/src/upgrade.rs
@@ -1,15 +1,15 @@
-//! Brings files of earlier formats to the present one.
+//! Upgrades files of earlier formats to the current one.
 
 use crate::tables::{CHANGES, HISTORY, KEYS, META, META_VERSION, TENANTS, TOKENS, decode};
 use crate::{FORMAT_VERSION, StoreError};
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, WriteTransaction};
 use shalewall_tenancy::history::HistoryEntry;
 
-/// The format that knew no order of changes across tenants.
+/// The format without an order of changes across tenants.
 const WITHOUT_CHANGE_NUMBERS: u64 = 1;
 
-/// Upgrades a file to [`FORMAT_VERSION`] in one transaction; a new file gets its tables. A file of a later
-/// format is an error, and left as it is.
+/// Upgrades a file to [`FORMAT_VERSION`] in one transaction, and creates the tables of a new file. Returns an error for
+/// a file of a later format and leaves it unchanged.
 pub(crate) fn upgrade(database: &Database) -> Result<(), StoreError> {
     let found = stored_version(database)?;
     if found == Some(FORMAT_VERSION) {
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// The format that a file says it has; a new file says none.
+/// The format version recorded in the file, or `None` for a new file.
 fn stored_version(database: &Database) -> Result<Option<u64>, StoreError> {
     let transaction = database.begin_read()?;
     let meta = match transaction.open_table(META) {
@@ -46,7 +46,7 @@
     Ok(version.map(|version| version.value()))
 }
 
-/// Numbers the changes of format 1 by their times, then by revision and tenant.
+/// Numbers the changes of format 1 in the order of their times, then of revision and tenant.
 fn number_changes(transaction: &WriteTransaction) -> Result<(), StoreError> {
     let history = transaction.open_table(HISTORY)?;
     let mut changes = transaction.open_table(CHANGES)?;
