--- a/crates/cli/tests/hosted/mod.rs
+++ b/crates/cli/tests/hosted/mod.rs
@@ -1,7 +1,7 @@
-//! A hosted service under test: the API and its fronts as processes.
-#![allow(dead_code)] // each test file uses a part of it
+//! A hosted service under test, with the API and its directors as processes.
+#![allow(dead_code)] // no test file uses all of it
 
-use crate::scripted::{Node, plan};
+use crate::scripted::{Node, server_config};
 use serde_json::{Value, json};
 use shalewall_settings::{Hosting, ServerConfig};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A process that is ended with its owner.
+/// A process and the address that it listens on. Dropping it kills the process.
 pub struct Process(pub Child, pub SocketAddr);
 
 impl Drop for Process {
@@ -20,16 +20,16 @@
     }
 }
 
-pub fn start(args: &[&str]) -> Process {
-    // As the kernel has it on a full disk: a write that is too much is an error, and no end of the process.
-    let ignoring = [
+pub fn start_process(args: &[&str]) -> Process {
+    // Ignores SIGXFSZ, so that a write beyond the file size limit fails with an error as on a full disk.
+    let shell_args = [
         "-c",
         "trap '' XFSZ; exec \"$0\" \"$@\"",
         env!("CARGO_BIN_EXE_shalewall"),
     ];
     let mut command = Command::new("sh");
     let mut child = command
-        .args(ignoring)
+        .args(shell_args)
         .args(args)
         .stderr(Stdio::piped())
         .spawn()
@@ -38,77 +38,82 @@
         .lines()
         .map_while(Result::ok);
     let address = lines.by_ref().find_map(|line| {
-        let said: Value = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line}: {e}"));
-        said["fields"]["address"]
+        let log_entry: Value =
+            serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line}: {e}"));
+        log_entry["fields"]["address"]
             .as_str()
             .map(|a| a.parse().unwrap())
     });
     std::thread::spawn(move || lines.for_each(drop));
-    Process(child, address.expect("it listens"))
+    Process(child, address.expect("it logs its address"))
 }
 
 pub struct Service {
     pub admin: Process,
-    pub fronts: Vec<Process>,
+    pub directors: Vec<Process>,
     pub token: String,
     pub dir: tempfile::TempDir,
 }
 
 impl Service {
-    pub fn new(nodes: &[&Node], fronts: u32) -> Service {
-        Service::with(nodes, fronts, |_| {})
+    pub fn new(nodes: &[&Node], directors: u32) -> Service {
+        Service::with_config(nodes, directors, |_| {})
     }
 
-    /// The same with a change to the fronts' settings.
-    pub fn with(nodes: &[&Node], fronts: u32, change: impl Fn(&mut ServerConfig)) -> Service {
+    /// Starts the service, with a change to the directors' settings.
+    pub fn with_config(
+        nodes: &[&Node],
+        directors: u32,
+        change: impl Fn(&mut ServerConfig),
+    ) -> Service {
         let dir = tempfile::tempdir().unwrap();
         let store = dir.path().join("tenants.redb");
-        let make = |role: &str| {
+        let create_token = |role: &str| {
             let args = ["store", "token", store.to_str().unwrap(), role];
-            let shown = Command::new(env!("CARGO_BIN_EXE_shalewall"))
+            let output = Command::new(env!("CARGO_BIN_EXE_shalewall"))
                 .args(args)
                 .output()
                 .unwrap();
-            String::from_utf8(shown.stdout).unwrap().trim().to_string()
+            String::from_utf8(output.stdout).unwrap().trim().to_string()
         };
-        let token = make("operator");
-        std::fs::write(dir.path().join("token"), make("front")).unwrap();
-        let admin = Service::admin(&dir, "127.0.0.1:0");
-        let mut plan = plan(nodes);
+        let token = create_token("operator");
+        std::fs::write(dir.path().join("token"), create_token("front")).unwrap();
+        let admin = Service::start_admin(&dir, "127.0.0.1:0");
+        let mut config = server_config(nodes);
         let token_file = dir.path().join("token");
-        plan.hosting = Some(Hosting {
+        config.hosting = Some(Hosting {
             admin: admin.1,
             token_file,
             set_ups_per_s: 1000.0,
         });
-        plan.front.director_count = fronts;
-        change(&mut plan);
-        let fronts = (0..fronts).map(|number| {
-            plan.front.number = number;
+        config.front.director_count = directors;
+        change(&mut config);
+        let directors = (0..directors).map(|number| {
+            config.front.number = number;
             let file = dir.path().join(format!("front-{number}.hcl"));
-            std::fs::write(&file, hcl::to_string(&plan).unwrap()).unwrap();
-            start(&["serve", "--config", file.to_str().unwrap()])
+            std::fs::write(&file, hcl::to_string(&config).unwrap()).unwrap();
+            start_process(&["serve", "--config", file.to_str().unwrap()])
         });
-        let fronts = fronts.collect();
+        let directors = directors.collect();
         Service {
             admin,
-            fronts,
+            directors,
             token,
             dir,
         }
     }
 
-    pub fn admin(dir: &tempfile::TempDir, listen: &str) -> Process {
+    pub fn start_admin(dir: &tempfile::TempDir, listen: &str) -> Process {
         let file = dir.path().join("admin.hcl");
         let store: PathBuf = dir.path().join("tenants.redb");
         let text = format!(
             "admin {{\n  listen = \"{listen}\"\n  store = {store:?}\n  forget_front_s = 10\n}}\n"
         );
         std::fs::write(&file, text).unwrap();
-        start(&["admin", "--config", file.to_str().unwrap()])
+        start_process(&["admin", "--config", file.to_str().unwrap()])
     }
 
-    pub fn api(&self, method: &str, target: &str, body: &Value) -> (u16, Value) {
+    pub fn call_api(&self, method: &str, target: &str, body: &Value) -> (u16, Value) {
         let fields = format!(
             "Authorization: Bearer {}\r\nIf-Match: *\r\nContent-Type: application/merge-patch+json\r\n",
             self.token
@@ -116,35 +121,41 @@
         http(self.admin.1, method, target, &fields, body)
     }
 
-    /// Makes a tenant, or changes it; returns when all fronts have the change, and how long that took.
-    pub fn rolled_out(&self, method: &str, target: &str, body: &Value) -> Duration {
-        let began = Instant::now();
-        let (status, said) = self.api(method, target, body);
+    /// Creates or changes a tenant and waits until all directors have applied the change. Returns the elapsed time.
+    pub fn change_and_wait(&self, method: &str, target: &str, body: &Value) -> Duration {
+        let started_at = Instant::now();
+        let (status, answer) = self.call_api(method, target, body);
         assert!(
             (200..300).contains(&status),
-            "{method} {target}: {status} {said}"
+            "{method} {target}: {status} {answer}"
         );
-        let number = self.api("GET", "/changes?after=0", &Value::Null).1["number"]
+        let number = self.call_api("GET", "/changes?after=0", &Value::Null).1["number"]
             .as_u64()
             .unwrap();
-        for front in &self.fronts {
-            while http(front.1, "GET", "/state", "", &Value::Null).1["tenants"].as_u64()
+        for director in &self.directors {
+            while http(director.1, "GET", "/state", "", &Value::Null).1["tenants"].as_u64()
                 < Some(number)
             {
                 assert!(
-                    began.elapsed() < Duration::from_secs(10),
-                    "it does not reach all fronts"
+                    started_at.elapsed() < Duration::from_secs(10),
+                    "the change does not reach all directors"
                 );
                 std::thread::sleep(Duration::from_millis(2));
             }
         }
-        began.elapsed()
+        started_at.elapsed()
     }
 
-    pub fn ask(&self, front: usize, tenant: &str, viewer: &str) -> (u16, Value) {
-        let wanted =
+    pub fn request_session(&self, director: usize, tenant: &str, viewer: &str) -> (u16, Value) {
+        let request =
             json!({ "viewer": viewer, "tenant": tenant, "class": "room", "title": "monday" });
-        http(self.fronts[front].1, "POST", "/sessions", "", &wanted)
+        http(
+            self.directors[director].1,
+            "POST",
+            "/sessions",
+            "",
+            &request,
+        )
     }
 }
 
@@ -169,10 +180,10 @@
         body.len()
     );
     stream.write_all(head.as_bytes()).unwrap();
-    let mut said = String::new();
-    stream.read_to_string(&mut said).unwrap();
-    let status = said[9..12].parse().unwrap();
-    let body = said.split_once("\r\n\r\n").map_or("", |(_, b)| b);
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    let status = response[9..12].parse().unwrap();
+    let body = response.split_once("\r\n\r\n").map_or("", |(_, b)| b);
     (status, serde_json::from_str(body).unwrap_or_default())
 }
 
--- a/crates/server/src/accept.rs
+++ b/crates/server/src/accept.rs
@@ -49,7 +49,7 @@
                     acceptor.serve_tenant(stream, connections, admitted);
                 }
             }
-            None => acceptor.serve_any(stream),
+            None => acceptor.serve_without_tenant(stream),
         }
     }
 }
@@ -83,7 +83,7 @@
     }
 
     /// Serves a connection of a director without tenants. At the connection limit it is closed immediately.
-    fn serve_any(&self, stream: Async<TcpStream>) {
+    fn serve_without_tenant(&self, stream: Async<TcpStream>) {
         let open = self.open.clone();
         if open.get() >= self.max_connections {
             return;
--- a/crates/server/src/connections.rs
+++ b/crates/server/src/connections.rs
@@ -101,10 +101,10 @@
         let Some(limits) = connections.limits(&tenant) else {
             return Err(unknown_tenant());
         };
-        if limits.head_bytes.is_some_and(|most| size > most as usize) {
+        if limits.head_bytes.is_some_and(|max| size > max as usize) {
             return Err(HttpError::new(431, "the head is above the tenant's limit"));
         }
-        Ok(limits.body_bytes.map_or(usize::MAX, |most| most as usize))
+        Ok(limits.body_bytes.map_or(usize::MAX, |max| max as usize))
     }
 
     fn on_request_complete(&mut self) {
@@ -121,7 +121,7 @@
         self.connections.tenants.connections().close(self.id);
         // When the connection ends by itself, this runs in its own task: dropping the task would cancel it, so it is
         // detached.
-        let own = self.connections.tasks.borrow_mut().remove(&self.id);
-        own.into_iter().for_each(Task::detach);
+        let own_task = self.connections.tasks.borrow_mut().remove(&self.id);
+        own_task.into_iter().for_each(Task::detach);
     }
 }
--- a/crates/server/src/endpoint_list.rs
+++ b/crates/server/src/endpoint_list.rs
@@ -126,7 +126,7 @@
             let mut events = EventStream::new(incoming, MAX_EVENT_BYTES);
             while let Some(batch) = events.next(timeout).await {
                 for event in batch {
-                    pass_on_update(&event.kind, &event.data, &sink);
+                    forward_update(&event.kind, &event.data, &sink);
                 }
             }
             warn!("endpoint list disconnected");
@@ -139,7 +139,7 @@
     }
 }
 
-fn pass_on_update(kind: &str, data: &str, sink: &impl Fn(Input)) {
+fn forward_update(kind: &str, data: &str, sink: &impl Fn(Input)) {
     let update = match kind {
         "full" => EndpointUpdate::Full,
         "delta" => EndpointUpdate::Delta,
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -6,7 +6,7 @@
 
 use crate::director::Director;
 use crate::node::{NodeConnections, calls, events};
-use crate::offers::PlayerStreams;
+use crate::player_streams::PlayerStreams;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use shalewall::{ServerId, Timestamp};
@@ -99,7 +99,7 @@
     pub fn handle(self: &Rc<EventLoop>, input: Input) {
         let now = shalewall_clock::now();
         self.engine.borrow_mut().handle(now, input);
-        self.carry_out_outputs();
+        self.execute_outputs();
         self.timeout_driver.update(self.next_timeout());
     }
 
@@ -137,16 +137,16 @@
         self.engine.borrow().tenant_sessions(tenant, limit)
     }
 
-    fn carry_out_outputs(self: &Rc<EventLoop>) {
+    fn execute_outputs(self: &Rc<EventLoop>) {
         loop {
             // A separate statement, so that the borrow of the engine ends before the output is executed.
             let output = self.engine.borrow_mut().poll_output();
             let Some(output) = output else { return };
-            self.carry_out(output);
+            self.execute_output(output);
         }
     }
 
-    fn carry_out(self: &Rc<EventLoop>, output: Output) {
+    fn execute_output(self: &Rc<EventLoop>, output: Output) {
         match output {
             Output::Answer { request_id, answer } => self.answer_request(request_id, answer),
             Output::Call {
@@ -238,7 +238,7 @@
         let handle_timeout = || {
             let now = shalewall_clock::now();
             self.engine.borrow_mut().handle_timeout(now);
-            self.carry_out_outputs();
+            self.execute_outputs();
         };
         let next_timeout = || self.next_timeout();
         self.timeout_driver.run(next_timeout, handle_timeout).await;
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -14,7 +14,7 @@
 /// connection that the node is just closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum number of idle connections to one node.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// The connections to one node.
 pub struct NodeConnections {
@@ -29,7 +29,7 @@
     pub fn new(server: ServerId, address: SocketAddr, limits: &Limits) -> NodeConnections {
         NodeConnections {
             server,
-            pool: Pool::new(address, limits.clone(), IDLE_TIMEOUT, MAX_IDLE),
+            pool: Pool::new(address, limits.clone(), IDLE_TIMEOUT, MAX_IDLE_CONNECTIONS),
             host: address.to_string(),
         }
     }
--- a/crates/server/src/node/calls.rs
+++ b/crates/server/src/node/calls.rs
@@ -18,7 +18,7 @@
     director: &Director,
     kind: &CallKind,
 ) -> CallResult {
-    let Some(request) = NodeRequest::of(kind, director, connections.server) else {
+    let Some(request) = NodeRequest::from_call(kind, director, connections.server) else {
         return CallResult::NotStarted("the director has no ticket key".into());
     };
     let body = request.body.as_ref().map(Value::to_string);
@@ -30,7 +30,7 @@
         ..Call::new(request.method, &request.target, &connections.host)
     };
     match connections.pool.call(&call).await {
-        Ok(response) => answered(&response),
+        Ok(response) => decode_response(&response),
         Err(CallError::NotConnected(ConnectErrorKind::LocalShortage, reason)) => {
             CallResult::NotSent(reason)
         }
@@ -50,7 +50,7 @@
 
 impl NodeRequest {
     /// Returns `None` if the call needs a ticket and the director has no ticket key.
-    fn of(kind: &CallKind, director: &Director, server: ServerId) -> Option<NodeRequest> {
+    fn from_call(kind: &CallKind, director: &Director, server: ServerId) -> Option<NodeRequest> {
         Some(match kind {
             CallKind::SetUpSession {
                 session,
@@ -161,7 +161,7 @@
     format!("/moves/{}/{attempt}", session.0)
 }
 
-fn answered(response: &Response) -> CallResult {
+fn decode_response(response: &Response) -> CallResult {
     let fields = &response.head.fields;
     let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
     CallResult::Answered {
--- a/crates/server/src/node/events.rs
+++ b/crates/server/src/node/events.rs
@@ -88,8 +88,8 @@
     while let Some(batch) = events.next(timeout).await {
         for event in batch {
             if event.kind != "held" {
-                pass_on_event(server, &event.kind, &event.data, sink);
-            } else if !pass_on_snapshot(server, requested_at, &event.data, sink) {
+                forward_event(server, &event.kind, &event.data, sink);
+            } else if !forward_snapshot(server, requested_at, &event.data, sink) {
                 return StreamEnd::Failed;
             }
         }
@@ -97,7 +97,7 @@
     StreamEnd::Closed
 }
 
-fn pass_on_event(server: ServerId, kind: &str, data: &str, sink: &impl Fn(Input)) {
+fn forward_event(server: ServerId, kind: &str, data: &str, sink: &impl Fn(Input)) {
     match decode_event(kind, data) {
         Some(event) => sink(Input::NodeNotified { server, event }),
         None => warn!(server = server.0, kind, "node event not decoded"),
@@ -105,7 +105,7 @@
 }
 
 /// Returns `false` if the snapshot can't be decoded.
-fn pass_on_snapshot(
+fn forward_snapshot(
     server: ServerId,
     requested_at: Timestamp,
     data: &str,
@@ -168,7 +168,7 @@
     let data: Value = serde_json::from_str(data).ok()?;
     let session = SessionId(data["session"].as_u64()?);
     let number = |name: &str| u32::try_from(data[name].as_u64()?).ok();
-    let part = |name: &str| data[name].as_f64().filter(|part| *part >= 0.0);
+    let fraction = |name: &str| data[name].as_f64().filter(|fraction| *fraction >= 0.0);
     Some(match kind {
         "ended" => NodeEvent::SessionEnded {
             session,
@@ -181,9 +181,9 @@
         },
         "figures" => NodeEvent::LoadNotified {
             session,
-            delivered_fraction: part("delivered"),
-            link_utilization: part("link"),
-            uplink_utilization: part("uplink"),
+            delivered_fraction: fraction("delivered"),
+            link_utilization: fraction("link"),
+            uplink_utilization: fraction("uplink"),
         },
         _ => return None,
     })
--- a/crates/server/src/player_events.rs
+++ b/crates/server/src/player_events.rs
@@ -1,7 +1,7 @@
 //! Event streams and reports of players that support migration. `docs/protocol.md` specifies them.
 
 use crate::event_loop::EventLoop;
-use crate::offers::{PlayerEvent, StreamId};
+use crate::player_streams::{PlayerEvent, StreamId};
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::{StreamExt, future, stream};
@@ -93,7 +93,7 @@
 }
 
 impl EpochReport {
-    fn read(request: &Request) -> Result<Epoch, serde_json::Error> {
+    fn decode(request: &Request) -> Result<Epoch, serde_json::Error> {
         let report: EpochReport = serde_json::from_slice(&request.body)?;
         Ok(Epoch(report.epoch))
     }
@@ -106,18 +106,20 @@
 }
 
 /// Handles `POST /sessions/{session}/{report}`. Returns `None` if there is no such report.
-pub fn take_report(
+pub fn handle_report(
     event_loop: &Rc<EventLoop>,
     session: SessionId,
     report: &str,
     request: &Request,
 ) -> Option<Reply> {
     let input = match report {
-        "playing" => EpochReport::read(request).map(|epoch| Input::EpochPlaying { session, epoch }),
+        "playing" => {
+            EpochReport::decode(request).map(|epoch| Input::EpochPlaying { session, epoch })
+        }
         "declined" => {
-            EpochReport::read(request).map(|epoch| Input::EpochDeclined { session, epoch })
+            EpochReport::decode(request).map(|epoch| Input::EpochDeclined { session, epoch })
         }
-        "silent" => silence(session, request),
+        "silent" => decode_silence_report(session, request),
         _ => return None,
     };
     Some(match input {
@@ -129,7 +131,10 @@
     })
 }
 
-fn silence(session: SessionId, request: &Request) -> Result<Input, serde_json::Error> {
+fn decode_silence_report(
+    session: SessionId,
+    request: &Request,
+) -> Result<Input, serde_json::Error> {
     let report: SilenceReport = serde_json::from_slice(&request.body)?;
     let buffered = TimeDelta::from_millis(report.buffer_ms.into());
     Ok(Input::StreamSilent { session, buffered })
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -5,7 +5,7 @@
 use crate::endpoint_list;
 use crate::event_loop::EventLoop;
 use crate::tenant_sync::TenantSync;
-use crate::tenants::{TenantGate, Tenants};
+use crate::tenants::{TenantAdmissionControl, Tenants};
 use crate::usage_reports::UsageReporter;
 use crate::viewer_api::ViewerApi;
 use async_executor::{LocalExecutor, Task};
@@ -27,7 +27,7 @@
 /// How often a graceful shutdown checks whether it is complete.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Delay before exit in which the last answers are written.
-const LAST_ANSWERS: Duration = Duration::from_millis(50);
+const FINAL_WRITE_DELAY: Duration = Duration::from_millis(50);
 /// Limits an incarnation to 14 bits.
 const INCARNATION_MASK: i64 = 0x3fff;
 
@@ -61,7 +61,7 @@
     pub address: SocketAddr,
     event_loop: Rc<EventLoop>,
     api: Rc<ViewerApi>,
-    accepting: Task<()>,
+    accept_task: Task<()>,
     /// Maximum time that a graceful shutdown waits for playing sessions.
     drain_timeout: Duration,
 }
@@ -70,42 +70,42 @@
     /// Starts a director on an executor. It runs until the executor is dropped.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
-        plan: &ServerConfig,
+        config: &ServerConfig,
     ) -> Result<Server, StartError> {
         let now = shalewall_clock::now();
         // Seconds since 1970 modulo 2^14, so starts within four and a half hours of each other have distinct values.
         let incarnation = ((now.as_micros() / 1_000_000) & INCARNATION_MASK) as u16;
-        let settings = &plan.front;
+        let settings = &config.front;
         let listener = TcpListener::bind(settings.listen)?;
         let address = listener.local_addr()?;
         let listener = Async::new(listener)?;
-        let mut engine = Engine::new(plan.site.config(settings, incarnation), now);
-        let hosting = plan.hosting.as_ref();
+        let mut engine = Engine::new(config.site.config(settings, incarnation), now);
+        let hosting = config.hosting.as_ref();
         let hosted = hosting
-            .map(|hosting| Hosted::new(hosting, plan))
+            .map(|hosting| Hosted::new(hosting, config))
             .transpose()?;
         if let Some(hosted) = &hosted {
-            engine.set_admission_control(Box::new(TenantGate(hosted.tenants.clone())));
+            engine.set_admission_control(Box::new(TenantAdmissionControl(hosted.tenants.clone())));
         }
         let director = Director {
             number: settings.number,
             limits: Limits::default(),
             stream_timeout: Duration::from_millis(settings.stream_timeout_ms),
-            ticket_key: ticket_key(plan)?,
+            ticket_key: ticket_key(config)?,
         };
         let event_loop = EventLoop::start(executor.clone(), engine, director);
-        let list = endpoint_list::watch(
+        let endpoint_watch = endpoint_list::watch(
             settings.endpoint_list,
             event_loop.director.clone(),
             event_loop.input_sink(),
         );
-        executor.spawn(list).detach();
+        executor.spawn(endpoint_watch).detach();
         if let Some(hosted) = &hosted {
             hosted.spawn_sync(executor, &event_loop);
         }
         let tenants = hosted.map(|hosted| hosted.tenants);
         let api = Rc::new(ViewerApi::new(event_loop.clone(), tenants.clone()));
-        let accepting = executor.spawn(accept_connections(
+        let accept_task = executor.spawn(accept_connections(
             event_loop.clone(),
             api.clone(),
             tenants,
@@ -117,7 +117,7 @@
             address,
             event_loop,
             api,
-            accepting,
+            accept_task,
             drain_timeout: Duration::from_secs_f64(settings.shutdown_grace_s),
         })
     }
@@ -129,14 +129,14 @@
         let mut signals = Signals::new([Signal::Term, Signal::Int])?;
         signals.next().await;
         self.api.shut_down();
-        self.accepting.cancel().await;
+        self.accept_task.cancel().await;
         info!(sessions = ?self.event_loop.session_counts(), "shutdown started");
         let second_signal = async {
             signals.next().await;
         };
         let drained = drain(&self.event_loop, self.drain_timeout);
         futures_lite::future::or(drained, second_signal).await;
-        Timer::after(LAST_ANSWERS).await;
+        Timer::after(FINAL_WRITE_DELAY).await;
         info!(sessions = ?self.event_loop.session_counts(), "shutdown finished");
         Ok(())
     }
@@ -147,9 +147,9 @@
     let deadline = Instant::now() + timeout;
     loop {
         let counts = event_loop.session_counts();
-        let is_over = Instant::now() >= deadline;
+        let is_timed_out = Instant::now() >= deadline;
         let playing = counts.playing + counts.leaving + counts.unconfirmed_ends;
-        if counts.waiting == 0 && (playing == 0 || is_over) {
+        if counts.waiting == 0 && (playing == 0 || is_timed_out) {
             return;
         }
         Timer::after(DRAIN_POLL_INTERVAL).await;
@@ -164,12 +164,12 @@
 }
 
 impl Hosted {
-    fn new(hosting: &Hosting, plan: &ServerConfig) -> io::Result<Hosted> {
+    fn new(hosting: &Hosting, config: &ServerConfig) -> io::Result<Hosted> {
         let token = std::fs::read_to_string(&hosting.token_file)?;
         let tenants = Tenants::new(
             hosting.set_ups_per_s,
-            plan.front.max_sessions,
-            plan.front.max_connections,
+            config.front.max_sessions,
+            config.front.max_connections,
         );
         Ok(Hosted {
             tenants,
@@ -199,9 +199,9 @@
 }
 
 /// Reads the key for migration tickets if the site migrates sessions.
-fn ticket_key(plan: &ServerConfig) -> Result<Option<TicketKey>, StartError> {
-    match &plan.front.ticket_key_file {
-        Some(file) if plan.site.moves.is_some() => read_ticket_key(file).map(Some),
+fn ticket_key(config: &ServerConfig) -> Result<Option<TicketKey>, StartError> {
+    match &config.front.ticket_key_file {
+        Some(file) if config.site.moves.is_some() => read_ticket_key(file).map(Some),
         _ => Ok(None),
     }
 }
--- a/crates/server/src/session_request.rs
+++ b/crates/server/src/session_request.rs
@@ -58,15 +58,15 @@
 pub fn decode(request: &Request) -> Result<SessionRequest, InvalidRequest> {
     let mut wire: WireRequest = serde_json::from_slice(&request.body)?;
     // The header field makes the tenant known before the content is read; clients may name it in the content instead.
-    if let Some(in_head) = request.head.fields.get(TENANT_FIELD) {
+    if let Some(header_tenant) = request.head.fields.get(TENANT_FIELD) {
         if wire
             .tenant
             .as_deref()
-            .is_some_and(|tenant| tenant != in_head)
+            .is_some_and(|tenant| tenant != header_tenant)
         {
             return Err(InvalidRequest::TenantMismatch);
         }
-        wire.tenant = Some(in_head.to_string());
+        wire.tenant = Some(header_tenant.to_string());
     }
     if !wire.has_valid_names() {
         return Err(InvalidRequest::NameLength);
--- a/crates/server/src/tenant_sync.rs
+++ b/crates/server/src/tenant_sync.rs
@@ -4,7 +4,7 @@
 
 use crate::admin_client::{AdminCallError, AdminClient};
 use crate::event_loop::EventLoop;
-use crate::tenant_terms::update_of;
+use crate::tenant_terms::tenant_update;
 use crate::tenants::Tenants;
 use async_executor::Task;
 use async_io::Timer;
@@ -18,9 +18,9 @@
 use tracing::{info, warn};
 
 /// How long the API holds a call open while there are no changes.
-const LONG_POLL: Duration = Duration::from_secs(5);
+const LONG_POLL_DURATION: Duration = Duration::from_secs(5);
 /// Time added to the long poll for a call's timeout.
-const CALL_MARGIN: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 /// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Maximum size of an answer, enough for all tenants of a service with about 100,000 titles.
@@ -84,16 +84,19 @@
 
     async fn fetch_changes(&self) -> Result<Changes, AdminCallError> {
         let after = self.tenants.change_number();
-        let wait_ms = LONG_POLL.as_millis();
+        let wait_ms = LONG_POLL_DURATION.as_millis();
         let target = format!("/changes?after={after}&wait_ms={wait_ms}");
-        let answer = self.admin.get(&target, LONG_POLL + CALL_MARGIN).await?;
+        let answer = self
+            .admin
+            .get(&target, LONG_POLL_DURATION + CALL_TIMEOUT_MARGIN)
+            .await?;
         Ok(serde_json::from_slice(&answer.body)?)
     }
 
     /// Updates the engine and admission control in one step, so that no request is decided in between.
     fn apply(&mut self, changes: Changes) {
         let now = shalewall_clock::now();
-        let updates = changes.tenants.iter().map(update_of).collect();
+        let updates = changes.tenants.iter().map(tenant_update).collect();
         self.event_loop.handle(Input::TenantsUpdated(updates));
         for tenant in &changes.tenants {
             self.tenants.update(now, tenant);
--- a/crates/server/src/tenant_terms.rs
+++ b/crates/server/src/tenant_terms.rs
@@ -7,15 +7,15 @@
 use std::collections::BTreeMap;
 
 /// Converts a tenant of the administration API to an update for the engine.
-pub fn update_of(tenant: &Tenant) -> TenantUpdate {
+pub fn tenant_update(tenant: &Tenant) -> TenantUpdate {
     let is_deleted = matches!(tenant.state, TenantState::Deleted { .. });
     TenantUpdate {
         tenant: tenant.id.to_string(),
-        terms: (!is_deleted).then(|| terms_of(tenant)),
+        terms: (!is_deleted).then(|| tenant_terms(tenant)),
     }
 }
 
-fn terms_of(tenant: &Tenant) -> TenantTerms {
+fn tenant_terms(tenant: &Tenant) -> TenantTerms {
     let terms = &tenant.terms;
     let classes = terms.classes.iter();
     let quota = tenant.state.accepts_sessions().then_some(terms.share);
--- a/crates/server/src/tenants.rs
+++ b/crates/server/src/tenants.rs
@@ -127,9 +127,9 @@
 }
 
 /// Admission control for the engine, by the tenants' quotas.
-pub struct TenantGate(pub Rc<Tenants>);
+pub struct TenantAdmissionControl(pub Rc<Tenants>);
 
-impl AdmissionControl for TenantGate {
+impl AdmissionControl for TenantAdmissionControl {
     fn admit(&mut self, now: Timestamp, tenant: Option<&str>) -> Admission {
         self.0.admit(now, tenant)
     }
--- a/crates/server/src/usage_reports.rs
+++ b/crates/server/src/usage_reports.rs
@@ -51,14 +51,14 @@
 
     /// Sends reports forever.
     pub async fn run(self) {
-        let mut wanted = ReportAnswer::default();
+        let mut requested = ReportAnswer::default();
         loop {
             Timer::after(REPORT_INTERVAL).await;
-            let report = self.report(&wanted.sessions_of);
+            let report = self.report(&requested.sessions_of);
             // A lost report is superseded by the next one, and tenant sync logs when the API is unreachable.
             let answer = self.admin.post("/usage", &report, REPORT_TIMEOUT).await;
             let answer = answer.ok();
-            wanted = answer
+            requested = answer
                 .and_then(|answer| serde_json::from_slice(&answer.body).ok())
                 .unwrap_or_default();
         }
@@ -76,11 +76,11 @@
 
     fn listed_sessions(&self, tenants: &[String]) -> BTreeMap<String, Vec<ReportedSession>> {
         let mut sessions = BTreeMap::new();
-        let mut left = MAX_LISTED_SESSIONS;
+        let mut remaining = MAX_LISTED_SESSIONS;
         for tenant in tenants {
-            let summaries = self.event_loop.sessions_of(tenant, left).into_iter();
+            let summaries = self.event_loop.sessions_of(tenant, remaining).into_iter();
             let listed: Vec<_> = summaries.map(reported_session).collect();
-            left -= listed.len();
+            remaining -= listed.len();
             sessions.insert(tenant.clone(), listed);
         }
         sessions
--- a/crates/server/src/viewer_api.rs
+++ b/crates/server/src/viewer_api.rs
@@ -23,19 +23,19 @@
 struct SessionPath<'r> {
     session: Option<SessionId>,
     /// The sub-resource of the session, if the path names one.
-    part: Option<&'r str>,
+    subresource: Option<&'r str>,
 }
 
 impl SessionPath<'_> {
-    fn of(path: &str) -> SessionPath<'_> {
+    fn parse(path: &str) -> SessionPath<'_> {
         let rest = path.strip_prefix("/sessions/").unwrap_or_default();
-        let (number, part) = match rest.split_once('/') {
-            Some((number, part)) => (number, Some(part)),
+        let (number, subresource) = match rest.split_once('/') {
+            Some((number, subresource)) => (number, Some(subresource)),
             None => (rest, None),
         };
         SessionPath {
             session: number.parse().ok().map(SessionId),
-            part,
+            subresource,
         }
     }
 }
@@ -58,9 +58,9 @@
     /// Answers one HTTP request.
     pub async fn answer(self: Rc<ViewerApi>, request: Request) -> Reply {
         let head = &request.head;
-        let path = SessionPath::of(head.path());
-        if let (Some(session), Some(part)) = (path.session, path.part) {
-            return self.answer_part(session, part, &request);
+        let path = SessionPath::parse(head.path());
+        if let (Some(session), Some(subresource)) = (path.session, path.subresource) {
+            return self.answer_subresource(session, subresource, &request);
         }
         match (head.method.as_str(), head.path(), path.session) {
             ("POST", "/sessions", _) => self.begin_session(&request).await,
@@ -75,13 +75,18 @@
         }
     }
 
-    fn answer_part(&self, session: SessionId, part: &str, request: &Request) -> Reply {
+    fn answer_subresource(
+        &self,
+        session: SessionId,
+        subresource: &str,
+        request: &Request,
+    ) -> Reply {
         let event_loop = &self.event_loop;
         let reply = match request.head.method.as_str() {
-            "GET" if part == "events" => {
+            "GET" if subresource == "events" => {
                 Some(player_events::open_stream(event_loop, session, request))
             }
-            "POST" => player_events::take_report(event_loop, session, part, request),
+            "POST" => player_events::handle_report(event_loop, session, subresource, request),
             _ => None,
         };
         reply.unwrap_or_else(|| Reply::problem(404, "no such thing here"))
--- a/crates/server/tests/scripted/mod.rs
+++ b/crates/server/tests/scripted/mod.rs
@@ -1,5 +1,5 @@
-//! A front under test with scripted peers on plain sockets: nodes that misbehave at a stated byte.
-#![allow(dead_code)] // each test file uses a part of it
+//! A director under test, with a scripted endpoint list and nodes on plain sockets. The nodes can fail at a given byte.
+#![allow(dead_code)] // no test file uses all of it
 
 use async_executor::LocalExecutor;
 use rustix::net::sockopt::set_socket_linger;
@@ -12,36 +12,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a scripted node does with a set-up.
+/// How a scripted node handles a set-up.
 #[derive(Clone, Copy, Debug)]
-pub enum Act {
-    /// Plays, after so long.
-    Play(Duration),
-    /// Resets the connection when so many bytes of the request have come.
+pub enum SetUpBehavior {
+    /// Answers 201 after a delay.
+    AcceptAfter(Duration),
+    /// Resets the connection after reading this number of bytes of the request.
     ResetAt(usize),
-    /// Answers 201 whole, but sends only so many bytes of it and closes.
-    CutAt(usize),
-    /// Plays, and sends its answer twice.
-    Twice,
-    /// Says nothing.
-    Hold,
-    /// Turned away, with the proof, or without.
-    Refuse { proof: bool },
+    /// Sends only this number of bytes of a 201 answer, then closes the connection.
+    TruncateAt(usize),
+    /// Answers 201 and sends the answer twice.
+    AnswerTwice,
+    /// Reads the request and never answers.
+    NeverAnswer,
+    /// Answers 503. `never_ran` adds the field `Shalewall-Never-Ran`, which states that the request was not executed.
+    Reject { never_ran: bool },
 }
 
-/// A request line that a node has read whole, or as far as it read.
+/// A request that a node has received, possibly incomplete.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub at: Instant,
     pub line: String,
-    /// Number of its connection.
+    /// Number of the connection that it arrived on.
     pub connection: usize,
 }
 
 pub struct Node {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
-    acts: Arc<Mutex<Vec<Act>>>,
+    pub received: Arc<Mutex<Vec<ReceivedRequest>>>,
+    behaviors: Arc<Mutex<Vec<SetUpBehavior>>>,
 }
 
 fn answer_201(session: &str) -> Vec<u8> {
@@ -51,74 +51,79 @@
 }
 
 impl Node {
-    /// `acts`: what it does with its set-ups, in order; then it plays.
-    pub fn start(acts: &[Act]) -> Node {
+    /// Starts a node that handles its set-ups by `behaviors` in order, and accepts all further ones.
+    pub fn start(behaviors: &[SetUpBehavior]) -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let acts = Arc::new(Mutex::new(acts.iter().rev().copied().collect::<Vec<_>>()));
-        let (all, script) = (seen.clone(), acts.clone());
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let behaviors = Arc::new(Mutex::new(
+            behaviors.iter().rev().copied().collect::<Vec<_>>(),
+        ));
+        let (received_by_all, script) = (received.clone(), behaviors.clone());
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
-                let (seen, acts) = (all.clone(), script.clone());
-                thread::spawn(move || connection(stream.unwrap(), number, &seen, &acts));
+                let (received, behaviors) = (received_by_all.clone(), script.clone());
+                thread::spawn(move || {
+                    serve_connection(stream.unwrap(), number, &received, &behaviors)
+                });
             }
         });
         Node {
             address,
-            seen,
-            acts,
+            received,
+            behaviors,
         }
     }
 
-    pub fn lines(&self, method: &str) -> Vec<Seen> {
-        self.seen
+    pub fn requests(&self, method: &str) -> Vec<ReceivedRequest> {
+        self.received
             .lock()
             .unwrap()
             .iter()
-            .filter(|s| s.line.starts_with(method))
+            .filter(|request| request.line.starts_with(method))
             .cloned()
             .collect()
     }
 
-    /// Waits until so many requests of a method have come.
-    pub fn wait_for(&self, method: &str, count: usize) -> Vec<Seen> {
-        let until = Instant::now() + Duration::from_secs(8);
-        while Instant::now() < until && self.lines(method).len() < count {
+    /// Waits until `count` requests with a method have arrived, up to 8 s. Returns them.
+    pub fn wait_for(&self, method: &str, count: usize) -> Vec<ReceivedRequest> {
+        let deadline = Instant::now() + Duration::from_secs(8);
+        while Instant::now() < deadline && self.requests(method).len() < count {
             thread::sleep(Duration::from_millis(10));
         }
-        self.lines(method)
+        self.requests(method)
     }
 }
 
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
 
-fn connection(
+fn serve_connection(
     mut stream: TcpStream,
     number: usize,
-    seen: &Mutex<Vec<Seen>>,
-    acts: &Mutex<Vec<Act>>,
+    received: &Mutex<Vec<ReceivedRequest>>,
+    behaviors: &Mutex<Vec<SetUpBehavior>>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut buf = Vec::new();
     loop {
-        // The first byte of a request decides what becomes of it.
+        // The first byte decides whether the request is a set-up (PUT) and takes the next behavior.
         let mut byte = [0; 1];
         if stream.read_exact(&mut byte).is_err() {
             return;
         }
         buf.clear();
         buf.push(byte[0]);
-        let act = (byte[0] == b'P').then(|| {
-            acts.lock()
+        let behavior = (byte[0] == b'P').then(|| {
+            behaviors
+                .lock()
                 .unwrap()
                 .pop()
-                .unwrap_or(Act::Play(Duration::ZERO))
+                .unwrap_or(SetUpBehavior::AcceptAfter(Duration::ZERO))
         });
-        let whole = loop {
-            if let Some(Act::ResetAt(at)) = act
+        let is_complete = loop {
+            if let Some(SetUpBehavior::ResetAt(at)) = behavior
                 && buf.len() >= at
             {
                 break false;
@@ -147,73 +152,73 @@
             .next()
             .unwrap_or_default()
             .to_string();
-        seen.lock().unwrap().push(Seen {
+        received.lock().unwrap().push(ReceivedRequest {
             at: Instant::now(),
             line: line.clone(),
             connection: number,
         });
-        if !whole {
-            return reset(&stream);
+        if !is_complete {
+            return reset_on_close(&stream);
         }
         let answer = answer_201(line.split('/').nth(2).unwrap_or("0"));
-        let said = match act {
-            Some(Act::Play(after)) => {
-                thread::sleep(after);
+        let response = match behavior {
+            Some(SetUpBehavior::AcceptAfter(delay)) => {
+                thread::sleep(delay);
                 answer
             }
-            Some(Act::CutAt(at)) => {
+            Some(SetUpBehavior::TruncateAt(at)) => {
                 let _ = stream.write_all(&answer[..at.min(answer.len() - 1)]);
                 return;
             }
-            Some(Act::Twice) => [answer.clone(), answer].concat(),
-            Some(Act::Hold) => {
+            Some(SetUpBehavior::AnswerTwice) => [answer.clone(), answer].concat(),
+            Some(SetUpBehavior::NeverAnswer) => {
                 thread::sleep(Duration::from_secs(20));
                 return;
             }
-            Some(Act::Refuse { proof }) => {
-                let proof = if proof {
+            Some(SetUpBehavior::Reject { never_ran }) => {
+                let field = if never_ran {
                     "Shalewall-Never-Ran: yes\r\n"
                 } else {
                     ""
                 };
-                format!("HTTP/1.1 503 x\r\n{proof}Content-Length: 0\r\n\r\n").into_bytes()
+                format!("HTTP/1.1 503 x\r\n{field}Content-Length: 0\r\n\r\n").into_bytes()
             }
-            Some(Act::ResetAt(_)) => return reset(&stream),
-            None if line.starts_with("GET /events") => return events(stream),
+            Some(SetUpBehavior::ResetAt(_)) => return reset_on_close(&stream),
+            None if line.starts_with("GET /events") => return serve_events(stream),
             None => b"HTTP/1.1 204 No Content\r\n\r\n".to_vec(),
         };
-        if stream.write_all(&said).is_err() {
+        if stream.write_all(&response).is_err() {
             return;
         }
     }
 }
 
-const SSE: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+const SSE_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
-fn events(mut stream: TcpStream) {
-    let _ = stream.write_all(format!("{SSE}event: held\ndata: []\n\n").as_bytes());
+fn serve_events(mut stream: TcpStream) {
+    let _ = stream.write_all(format!("{SSE_HEAD}event: held\ndata: []\n\n").as_bytes());
     while stream.write_all(b": beat\n\n").is_ok() {
         thread::sleep(Duration::from_millis(300));
     }
 }
 
-/// A list that names these nodes, the first in cell 0.
-fn list(nodes: &[SocketAddr]) -> SocketAddr {
-    let line = |(i, a): (usize, &SocketAddr)| {
+/// Starts an endpoint list that serves these nodes. Each is in the cell of its index.
+fn start_endpoint_list(nodes: &[SocketAddr]) -> SocketAddr {
+    let entry = |(i, a): (usize, &SocketAddr)| {
         format!(
             "{{\"server\":{i},\"address\":\"{a}\",\"kind\":\"small\",\"cell\":{i},\"standing\":\"ready\"}}"
         )
     };
-    let lines: Vec<_> = nodes.iter().enumerate().map(line).collect();
-    let said = format!("{SSE}event: full\ndata: [{}]\n\n", lines.join(","));
+    let entries: Vec<_> = nodes.iter().enumerate().map(entry).collect();
+    let response = format!("{SSE_HEAD}event: full\ndata: [{}]\n\n", entries.join(","));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, said) = (stream.unwrap(), said.clone());
+            let (mut stream, response) = (stream.unwrap(), response.clone());
             thread::spawn(move || {
                 let _ = stream.read(&mut [0; 1024]);
-                let _ = stream.write_all(said.as_bytes());
+                let _ = stream.write_all(response.as_bytes());
                 while stream.write_all(b": beat\n\n").is_ok() {
                     thread::sleep(Duration::from_millis(300));
                 }
@@ -223,15 +228,15 @@
     address
 }
 
-/// What a front over these nodes is told.
-pub fn plan(nodes: &[&Node]) -> ServerConfig {
+/// The settings of a director with these nodes.
+pub fn server_config(nodes: &[&Node]) -> ServerConfig {
     let file = Path::new(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../days/short-bad-day.hcl"
     ));
     let day: DayPlan = read(file).unwrap();
     let mut site = day.site;
-    // The nodes are warm for the front soon, and nothing else decides which of them is taken.
+    // Short slow start, no health checks, and every title on all nodes, so that nothing else affects node selection.
     site.rules.warm_up_ms = 100.0;
     site.limits.can_check_health = false;
     site.layout.cell_count = nodes.len() as u64;
@@ -241,7 +246,7 @@
     let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
     let front = Front {
         listen: "127.0.0.1:0".parse().unwrap(),
-        endpoint_list: list(&addresses),
+        endpoint_list: start_endpoint_list(&addresses),
         number: 0,
         director_count: 1,
         zone: None,
@@ -259,15 +264,15 @@
     }
 }
 
-/// Starts a front over these nodes, on a thread of its own, and waits until it knows them.
-pub fn front(nodes: &[&Node]) -> SocketAddr {
-    let plan = plan(nodes);
+/// Starts a director with these nodes in its own thread and waits until it has connected to them.
+pub fn start_director(nodes: &[&Node]) -> SocketAddr {
+    let config = server_config(nodes);
     let (sender, address) = mpsc::channel();
     thread::spawn(move || {
-        let ex = Rc::new(LocalExecutor::new());
-        let serving = shalewall_server::Server::start(&ex, &plan).unwrap();
-        sender.send(serving.address).unwrap();
-        async_io::block_on(ex.run(futures_lite::future::pending::<()>()));
+        let executor = Rc::new(LocalExecutor::new());
+        let server = shalewall_server::Server::start(&executor, &config).unwrap();
+        sender.send(server.address).unwrap();
+        async_io::block_on(executor.run(futures_lite::future::pending::<()>()));
     });
     let address = address.recv().unwrap();
     nodes
@@ -277,16 +282,21 @@
     address
 }
 
-/// Sends a viewer's request; the connection is the caller's.
-pub fn ask(front: SocketAddr, viewer: &str, class: &str) -> TcpStream {
-    ask_for(front, viewer, class, 60_000)
+/// Sends a viewer's request and returns its connection.
+pub fn request_session(director: SocketAddr, viewer: &str, class: &str) -> TcpStream {
+    request_session_with_wait(director, viewer, class, 60_000)
 }
 
-/// The same of a viewer that waits so long, in milliseconds.
-pub fn ask_for(front: SocketAddr, viewer: &str, class: &str, wait: u32) -> TcpStream {
-    let wanted = format!("\"viewer\":\"{viewer}\",\"class\":\"{class}\",\"title\":\"monday\"");
-    let body = format!("{{{wanted},\"wait_ms\":{wait}}}");
-    let mut stream = TcpStream::connect(front).unwrap();
+/// Like [`request_session`], with the viewer's deadline in milliseconds.
+pub fn request_session_with_wait(
+    director: SocketAddr,
+    viewer: &str,
+    class: &str,
+    wait_ms: u32,
+) -> TcpStream {
+    let members = format!("\"viewer\":\"{viewer}\",\"class\":\"{class}\",\"title\":\"monday\"");
+    let body = format!("{{{members},\"wait_ms\":{wait_ms}}}");
+    let mut stream = TcpStream::connect(director).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
@@ -298,20 +308,20 @@
     stream
 }
 
-/// Reads all answers that come until the front is silent for a while after the first.
-pub fn statuses(mut stream: TcpStream) -> Vec<u16> {
-    let mut said = Vec::new();
+/// Reads the statuses of all answers until 150 ms pass without a byte after the first one.
+pub fn read_statuses(mut stream: TcpStream) -> Vec<u16> {
+    let mut received = Vec::new();
     let mut buf = [0; 4096];
     while let Ok(n) = stream.read(&mut buf) {
         if n == 0 {
             break;
         }
-        said.extend_from_slice(&buf[..n]);
+        received.extend_from_slice(&buf[..n]);
         stream
             .set_read_timeout(Some(Duration::from_millis(150)))
             .unwrap();
     }
-    let text = String::from_utf8_lossy(&said).into_owned();
+    let text = String::from_utf8_lossy(&received).into_owned();
     text.match_indices("HTTP/1.1 ")
         .map(|(i, _)| text[i + 9..i + 12].parse().unwrap())
         .collect()
