--- a/crates/cli/tests/place/mod.rs
+++ b/crates/cli/tests/environment/mod.rs
@@ -1,14 +1,16 @@
-//! A director as the platform starts it, with its configuration, and a viewer, a node and a journal service of one test.
-#![allow(dead_code)] // each test file uses a part of it
+//! The environment of one test: a director as the platform starts it, its configuration, and sockets for a viewer, a
+//! node and the journal service.
+#![allow(dead_code)] // no test file uses all of it
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-pub const WAIT: Duration = Duration::from_secs(10);
+/// How long a test waits for a connection or a message.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A process that ends with its test.
+/// A director process, killed when it is dropped.
 pub struct Director(pub Child);
 
 impl Drop for Director {
@@ -25,13 +27,13 @@
     }
 }
 
-pub struct Place {
+pub struct Environment {
     pub dir: tempfile::TempDir,
     pub listen: String,
     pub journal: TcpListener,
     pub node: TcpListener,
-    /// How long a viewer waits, in milliseconds.
-    pub left: u64,
+    /// Deadline of viewers' requests in milliseconds.
+    pub wait_ms: u64,
 }
 
 pub fn listener() -> TcpListener {
@@ -42,28 +44,28 @@
     listener.local_addr().unwrap().to_string()
 }
 
-impl Place {
-    pub fn new() -> Place {
-        // Not one that the system gives out by itself: another test's listener may have it by the time the director starts.
+impl Environment {
+    pub fn new() -> Environment {
+        // Not an ephemeral port: another test's listener could be assigned it before the director starts.
         let listen = format!("127.0.0.1:{}", shalewall_test_harness::free_port().unwrap());
-        Place {
+        Environment {
             dir: tempfile::tempdir().unwrap(),
             listen,
             journal: listener(),
             node: listener(),
-            left: 1500,
+            wait_ms: 1500,
         }
     }
 
-    pub fn file(&self) -> std::path::PathBuf {
+    pub fn config_path(&self) -> std::path::PathBuf {
         self.dir.path().join("config.json")
     }
 
-    pub fn write(&self, journal: &str) {
-        std::fs::write(self.file(), self.text(journal)).unwrap();
+    pub fn write_config(&self, journal: &str) {
+        std::fs::write(self.config_path(), self.config_text(journal)).unwrap();
     }
 
-    pub fn text(&self, journal: &str) -> String {
+    pub fn config_text(&self, journal: &str) -> String {
         let node = address(&self.node);
         format!(
             r#"{{"name":"n1","listen":"{}","seed":"8c1f30d27a5be964","limits":{{"sockets":256}},
@@ -81,16 +83,16 @@
         )
     }
 
-    pub fn begin(&self) -> Director {
-        self.begin_logged(Stdio::null())
+    pub fn start_director(&self) -> Director {
+        self.start_director_with_log(Stdio::null())
     }
 
-    /// With its log to there.
-    pub fn begin_logged(&self, log: Stdio) -> Director {
-        self.write(&address(&self.journal));
+    /// Starts the director with its log written to `log`.
+    pub fn start_director_with_log(&self, log: Stdio) -> Director {
+        self.write_config(&address(&self.journal));
         let child = Command::new(env!("CARGO_BIN_EXE_shalewall"))
             .arg("direct")
-            .env("ROUTER_CONFIG", self.file())
+            .env("ROUTER_CONFIG", self.config_path())
             .stderr(log)
             .spawn()
             .unwrap();
@@ -98,49 +100,52 @@
     }
 
     pub fn viewer(&self) -> Viewer {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
             if let Ok(stream) = TcpStream::connect(&self.listen) {
-                stream.set_read_timeout(Some(WAIT)).unwrap();
-                return Viewer(BufReader::new(stream), self.left);
+                stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+                return Viewer(BufReader::new(stream), self.wait_ms);
             }
-            assert!(begun.elapsed() < WAIT, "the director does not listen");
+            assert!(
+                started_at.elapsed() < TIMEOUT,
+                "the director does not listen"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 }
 
-/// A connection of a viewer, who waits so many milliseconds for an answer.
+/// A connection of a viewer, and the deadline of its requests in milliseconds.
 pub struct Viewer(pub BufReader<TcpStream>, u64);
 
 impl Viewer {
-    pub fn say(&mut self, line: &str) {
+    pub fn send(&mut self, line: &str) {
         self.0
             .get_mut()
             .write_all(format!("{line}\n").as_bytes())
             .unwrap();
     }
 
-    pub fn ask(&mut self, tag: u64) {
-        let left = self.1;
-        self.say(&format!(
-            r#"{{"verb":"START","tag":"{tag:016x}","opts":{{"class":"paid","left":{left},"key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1;viewer:{tag:016x}"}},"blob":"here\r\n"}}"#
+    pub fn request_session(&mut self, tag: u64) {
+        let wait_ms = self.1;
+        self.send(&format!(
+            r#"{{"verb":"START","tag":"{tag:016x}","opts":{{"class":"paid","left":{wait_ms},"key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:1;viewer:{tag:016x}"}},"blob":"here\r\n"}}"#
         ));
     }
 
-    /// Tests until the director says that it is not ready.
-    pub fn until_not_ready(&mut self) {
-        let begun = Instant::now();
+    /// Sends readiness tests (`ECHO`) until the director answers that it is not ready.
+    pub fn wait_until_not_ready(&mut self) {
+        let started_at = Instant::now();
         loop {
-            self.say(r#"{"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0}"#);
-            if self.hear().contains("\"rc\":0") {
+            self.send(r#"{"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0}"#);
+            if self.receive().contains("\"rc\":0") {
                 return;
             }
-            assert!(begun.elapsed() < WAIT);
+            assert!(started_at.elapsed() < TIMEOUT);
         }
     }
 
-    pub fn hear(&mut self) -> String {
+    pub fn receive(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).unwrap();
         line
@@ -148,30 +153,30 @@
 }
 
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    // Nobody who does not come is waited for without an end.
+    // Non-blocking, so that a missing connection fails the test.
     listener.set_nonblocking(true).unwrap();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let stream = loop {
         match listener.accept() {
             Ok((stream, _)) => break stream,
-            Err(_) => assert!(begun.elapsed() < WAIT, "nobody connects"),
+            Err(_) => assert!(started_at.elapsed() < TIMEOUT, "nobody connects"),
         }
         std::thread::sleep(Duration::from_millis(2));
     };
     stream.set_nonblocking(false).unwrap();
-    stream.set_read_timeout(Some(WAIT)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
 /// Reads one set-up and answers it.
-pub fn serve(node: &mut TcpStream, tag: u64) {
+pub fn answer_set_up(node: &mut TcpStream, tag: u64) {
     let mut buf = [0; 4096];
     let n = node.read(&mut buf).unwrap();
     assert!(buf[..n].starts_with(b"SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\n"));
-    answer(node, tag, "there\r\n");
+    send_set_up_response(node, tag, "there\r\n");
 }
 
-pub fn answer(node: &mut TcpStream, tag: u64, description: &str) {
+pub fn send_set_up_response(node: &mut TcpStream, tag: u64, description: &str) {
     let length = description.len();
     let head = format!(
         "RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: {tag:016x}\r\nContent-Length: {length}\r\n\r\n"
@@ -180,7 +185,7 @@
         .unwrap();
 }
 
-pub fn position(journal: &mut TcpStream) -> u64 {
+pub fn read_position(journal: &mut TcpStream) -> u64 {
     let mut bytes = [0; 8];
     journal.read_exact(&mut bytes).unwrap();
     u64::from_be_bytes(bytes)
