--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -165,11 +165,11 @@
     // The node's listener is closed.
     environment.node = listener();
     director.signal(Signal::CONT);
-    for received_by_node in 0..200 {
-        let word = viewer.receive();
+    for index in 0..200 {
+        let message = viewer.receive();
         assert!(
-            word.contains(r#""rc":16"#),
-            "after {received_by_node} ends: {word}"
+            message.contains(r#""rc":16"#),
+            "after {index} ends: {message}"
         );
     }
 }
@@ -278,7 +278,7 @@
     assert!(director.0.wait().unwrap().success());
 }
 
-// ---- the list ---------------------------------------------------------------------------------
+// ---- journal service --------------------------------------------------------------------------
 
 /// A journal service that sends a frame byte by byte delivers nothing, and is reconnected to like a silent one.
 #[test]
@@ -287,7 +287,7 @@
     let _director = environment.start_director();
     let mut journal = accept(&environment.journal);
     assert_eq!(read_position(&mut journal), 1);
-    let drips = std::thread::spawn(move || {
+    let sender = std::thread::spawn(move || {
         let _ = journal.write_all(&[0, 0, 0, 200]);
         for _ in 0..60 {
             std::thread::sleep(Duration::from_millis(100));
@@ -298,7 +298,7 @@
         panic!("the connection stayed open for six seconds");
     });
     assert_eq!(read_position(&mut accept(&environment.journal)), 1);
-    drips.join().unwrap();
+    sender.join().unwrap();
 }
 
 /// A heartbeat has a position above the last known one: the missing events are requested immediately, not when the next
@@ -312,8 +312,8 @@
     journal
         .write_all(&[0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 2, 0])
         .unwrap();
-    let mut again = accept(&environment.journal);
-    assert_eq!(read_position(&mut again), 1);
+    let mut reconnected = accept(&environment.journal);
+    assert_eq!(read_position(&mut reconnected), 1);
     let mut rest = Vec::new();
     assert!(
         journal.read_to_end(&mut rest).is_ok(),
@@ -424,16 +424,16 @@
     let mut viewer = environment.viewer();
     exchange_echo(&mut viewer, 1);
     rustix::net::listen(&environment.node, 0).unwrap();
-    let fill = TcpStream::connect(environment.node.local_addr().unwrap()).unwrap();
+    let queued_connection = TcpStream::connect(environment.node.local_addr().unwrap()).unwrap();
     viewer.request_session(7);
     viewer.send(CANCEL_REQUEST);
     assert!(viewer.receive().contains("FINISHED"));
     rustix::net::listen(&environment.node, 16).unwrap();
-    drop(fill);
+    drop(queued_connection);
     environment.node.set_nonblocking(true).unwrap();
     // Reads everything that arrives on any connection within 700 ms.
     let started_at = Instant::now();
-    let mut received_by_node = Vec::new();
+    let mut index = Vec::new();
     while started_at.elapsed() < Duration::from_millis(700) {
         match environment.node.accept() {
             Ok((mut stream, _)) => {
@@ -441,7 +441,7 @@
                 stream
                     .set_read_timeout(Some(Duration::from_millis(200)))
                     .unwrap();
-                let _ = stream.read_to_end(&mut received_by_node);
+                let _ = stream.read_to_end(&mut index);
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
                 std::thread::sleep(Duration::from_millis(10))
@@ -449,5 +449,5 @@
             Err(e) => panic!("{e}"),
         }
     }
-    assert!(!String::from_utf8_lossy(&received_by_node).contains("SETUP"));
+    assert!(!String::from_utf8_lossy(&index).contains("SETUP"));
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -8,20 +8,20 @@
     Length(u64),
     Chunked,
     /// The content ends when the connection closes; responses only.
-    ToClose,
+    UntilClose,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Length(u64),
     /// Expects a chunk's size line.
-    Size,
-    Data(u64),
+    ChunkSize,
+    ChunkData(u64),
     /// Expects the CRLF after a chunk's data.
-    DataEnd,
+    ChunkDataEnd,
     /// Reads and drops trailer fields; holds the number of bytes read so far.
     Trailer(usize),
-    ToClose,
+    UntilClose,
     End,
 }
 
@@ -29,8 +29,8 @@
 #[derive(Debug)]
 pub struct BodyDecoder {
     state: State,
-    left: usize,
-    trailer: usize,
+    remaining: usize,
+    max_trailer_bytes: usize,
 }
 
 /// A step of decoding.
@@ -45,7 +45,7 @@
 }
 
 /// Maximum length of a chunk's size line. Chunk extensions are ignored.
-const SIZE_LINE: usize = 128;
+const MAX_SIZE_LINE_BYTES: usize = 128;
 
 impl BodyDecoder {
     /// Creates a decoder. Fails immediately if a `Content-Length` exceeds the limit.
@@ -54,8 +54,8 @@
             return Err(HttpError::new(413, "content over the limit"));
         }
         Ok(BodyDecoder {
-            left: limits.body,
-            trailer: limits.head,
+            remaining: limits.body,
+            max_trailer_bytes: limits.head,
             ..BodyDecoder::unbounded(framing)
         })
     }
@@ -65,28 +65,31 @@
     pub fn unbounded(framing: Framing) -> BodyDecoder {
         let state = match framing {
             Framing::Length(n) => State::Length(n),
-            Framing::Chunked => State::Size,
-            Framing::ToClose => State::ToClose,
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         };
         BodyDecoder {
             state,
-            left: usize::MAX,
-            trailer: 16 * 1024,
+            remaining: usize::MAX,
+            max_trailer_bytes: 16 * 1024,
         }
     }
 
     /// Whether the content is complete if the connection closes now.
     pub fn is_complete_at_close(&self) -> bool {
-        matches!(self.state, State::ToClose | State::End | State::Length(0))
+        matches!(
+            self.state,
+            State::UntilClose | State::End | State::Length(0)
+        )
     }
 
-    fn data<'b>(&mut self, buf: &'b [u8], most: u64) -> Result<Piece<'b>, HttpError> {
-        let n = buf.len().min(usize::try_from(most).unwrap_or(usize::MAX));
-        if n > self.left {
+    fn data<'b>(&mut self, buf: &'b [u8], max: u64) -> Result<Piece<'b>, HttpError> {
+        let n = buf.len().min(usize::try_from(max).unwrap_or(usize::MAX));
+        if n > self.remaining {
             return Err(HttpError::new(413, "content over the limit"));
         }
-        if self.left != usize::MAX {
-            self.left -= n;
+        if self.remaining != usize::MAX {
+            self.remaining -= n;
         }
         Ok(Piece::Data(n, &buf[..n]))
     }
@@ -104,11 +107,15 @@
                 }
                 Ok(piece)
             }
-            State::ToClose => self.data(buf, u64::MAX),
-            State::Size => {
-                let Some(end) = buf.iter().take(SIZE_LINE).position(|b| *b == b'\n') else {
-                    let long = buf.len() >= SIZE_LINE;
-                    return if long {
+            State::UntilClose => self.data(buf, u64::MAX),
+            State::ChunkSize => {
+                let Some(end) = buf
+                    .iter()
+                    .take(MAX_SIZE_LINE_BYTES)
+                    .position(|b| *b == b'\n')
+                else {
+                    let is_too_long = buf.len() >= MAX_SIZE_LINE_BYTES;
+                    return if is_too_long {
                         Err(HttpError::new(400, "chunk size line too long"))
                     } else {
                         Ok(Piece::NeedMore)
@@ -127,46 +134,46 @@
                 }
                 let digit = |d: &u8| u64::from((*d as char).to_digit(16).unwrap_or(0));
                 let size = size.iter().fold(0, |n, d| n * 16 + digit(d));
-                if size > self.left as u64 {
+                if size > self.remaining as u64 {
                     return Err(HttpError::new(413, "content over the limit"));
                 }
                 self.state = if size == 0 {
                     State::Trailer(0)
                 } else {
-                    State::Data(size)
+                    State::ChunkData(size)
                 };
                 Ok(Piece::Data(end + 1, &[]))
             }
-            State::Data(n) => {
+            State::ChunkData(n) => {
                 let piece = self.data(buf, n)?;
                 if let Piece::Data(used, _) = piece {
                     let rest = n - used as u64;
                     self.state = if rest == 0 {
-                        State::DataEnd
+                        State::ChunkDataEnd
                     } else {
-                        State::Data(rest)
+                        State::ChunkData(rest)
                     };
                 }
                 Ok(piece)
             }
-            State::DataEnd => match buf {
+            State::ChunkDataEnd => match buf {
                 [b'\r', b'\n', ..] => {
-                    self.state = State::Size;
+                    self.state = State::ChunkSize;
                     Ok(Piece::Data(2, &[]))
                 }
                 [b'\r'] => Ok(Piece::NeedMore),
                 _ => Err(HttpError::new(400, "chunk data runs past its size")),
             },
-            State::Trailer(seen) => {
+            State::Trailer(consumed) => {
                 let Some(end) = buf.iter().position(|b| *b == b'\n') else {
-                    let long = seen + buf.len() > self.trailer;
-                    return if long {
+                    let is_too_long = consumed + buf.len() > self.max_trailer_bytes;
+                    return if is_too_long {
                         Err(HttpError::new(431, "trailer too large"))
                     } else {
                         Ok(Piece::NeedMore)
                     };
                 };
-                if seen + end > self.trailer {
+                if consumed + end > self.max_trailer_bytes {
                     return Err(HttpError::new(431, "trailer too large"));
                 }
                 if end == 0 || buf[end - 1] != b'\r' {
@@ -176,7 +183,7 @@
                     self.state = State::End;
                     return Ok(Piece::End(2));
                 }
-                self.state = State::Trailer(seen + end + 1);
+                self.state = State::Trailer(consumed + end + 1);
                 Ok(Piece::Data(end + 1, &[]))
             }
         }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -35,7 +35,7 @@
 impl ConnectErrorKind {
     /// Classifies the error of a connection attempt.
     pub fn of(error: &std::io::Error) -> ConnectErrorKind {
-        let own = [
+        let local_shortages = [
             Errno::MFILE,
             Errno::NFILE,
             Errno::ADDRNOTAVAIL,
@@ -45,7 +45,7 @@
         ];
         match error.raw_os_error().map(Errno::from_raw_os_error) {
             Some(Errno::CONNREFUSED) => ConnectErrorKind::Refused,
-            Some(errno) if own.contains(&errno) => ConnectErrorKind::LocalShortage,
+            Some(errno) if local_shortages.contains(&errno) => ConnectErrorKind::LocalShortage,
             _ => ConnectErrorKind::Unknown,
         }
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    fn bytes(&self) -> Vec<u8> {
+    fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(256);
         let length = self
             .content
@@ -123,7 +123,7 @@
     stream: S,
     buf: Vec<u8>,
     limits: Limits,
-    spent: bool,
+    must_close: bool,
 }
 
 /// Runs a future with a timeout. Returns `None` if it does not complete in time.
@@ -136,7 +136,7 @@
 }
 
 /// Maximum number of bytes per read.
-const READ: usize = 4 * 1024;
+const READ_BYTES: usize = 4 * 1024;
 
 /// Reads more bytes into a buffer. Returns 0 if the peer has closed the connection.
 pub(crate) async fn fill<S: AsyncRead + Unpin>(
@@ -145,23 +145,23 @@
 ) -> io::Result<usize> {
     // Reads directly into the buffer: a local array would be part of every future that waits for bytes, and would be
     // moved with it.
-    let before = buf.len();
-    let mut filling = Filling { buf, before };
-    filling.buf.resize(before + READ, 0);
-    let n = stream.read(&mut filling.buf[before..]).await?;
-    filling.before += n;
+    let filled = buf.len();
+    let mut guard = TruncateOnDrop { buf, filled };
+    guard.buf.resize(filled + READ_BYTES, 0);
+    let n = stream.read(&mut guard.buf[filled..]).await?;
+    guard.filled += n;
     Ok(n)
 }
 
 /// Truncates the buffer to the bytes that were read, also when the read is cancelled.
-struct Filling<'b> {
+struct TruncateOnDrop<'b> {
     buf: &'b mut Vec<u8>,
-    before: usize,
+    filled: usize,
 }
 
-impl Drop for Filling<'_> {
+impl Drop for TruncateOnDrop<'_> {
     fn drop(&mut self) {
-        self.buf.truncate(self.before);
+        self.buf.truncate(self.filled);
     }
 }
 
@@ -171,13 +171,13 @@
             stream,
             buf: Vec::new(),
             limits,
-            spent: false,
+            must_close: false,
         }
     }
 
     /// Whether the connection may carry another call.
     pub fn reusable(&self) -> bool {
-        !self.spent
+        !self.must_close
     }
 
     /// Whether the peer has closed the connection or sent unsolicited bytes. Such a connection must not carry a
@@ -191,51 +191,52 @@
     }
 
     /// Sends a request and waits for the response head.
-    async fn start(&mut self, call: &Call<'_>) -> Result<ResponseHead, CallError> {
-        self.spent = true; // until the response is complete
-        let bytes = call.bytes();
-        let mut at = 0;
-        let mut broke = None;
-        while at < bytes.len() {
-            match self.stream.write(&bytes[at..]).await {
-                Ok(n) if n > 0 => at += n,
-                result if at == 0 => {
+    async fn send_request(&mut self, call: &Call<'_>) -> Result<ResponseHead, CallError> {
+        self.must_close = true; // until the response is complete
+        let bytes = call.encode();
+        let mut written = 0;
+        let mut write_error = None;
+        while written < bytes.len() {
+            match self.stream.write(&bytes[written..]).await {
+                Ok(n) if n > 0 => written += n,
+                result if written == 0 => {
                     return Err(CallError::NotExecuted(format!(
                         "write failed before the first byte: {result:?}"
                     )));
                 }
                 result => {
                     // The peer may have answered early and closed the connection, so its answer is still read.
-                    broke = Some(format!("write failed after {at} bytes: {result:?}"));
+                    write_error = Some(format!("write failed after {written} bytes: {result:?}"));
                     break;
                 }
             }
         }
-        let failed = |what: String| CallError::MaybeExecuted(what);
-        let mut finder = HeadParser::default();
+        let maybe_executed = |what: String| CallError::MaybeExecuted(what);
+        let mut parser = HeadParser::default();
         loop {
-            match finder.parse_response(&self.buf, &self.limits, call.method == "HEAD") {
-                Err(bad) => return Err(failed(format!("malformed response: {bad}"))),
+            match parser.parse_response(&self.buf, &self.limits, call.method == "HEAD") {
+                Err(bad) => return Err(maybe_executed(format!("malformed response: {bad}"))),
                 Ok(Some((head, used))) => {
                     self.buf.drain(..used);
                     if head.status >= 200 {
                         return Ok(head);
                     }
-                    finder = HeadParser::default();
+                    parser = HeadParser::default();
                     continue;
                 }
                 Ok(None) => {}
             }
             match fill(&mut self.stream, &mut self.buf).await {
                 Ok(0) => {
-                    return Err(failed(
-                        broke.unwrap_or("connection closed before the response".into()),
+                    return Err(maybe_executed(
+                        write_error.unwrap_or("connection closed before the response".into()),
                     ));
                 }
                 Ok(_) => {}
                 Err(e) => {
-                    return Err(failed(
-                        broke.unwrap_or(format!("connection failed before the response: {e}")),
+                    return Err(maybe_executed(
+                        write_error
+                            .unwrap_or(format!("connection failed before the response: {e}")),
                     ));
                 }
             }
@@ -244,25 +245,28 @@
 
     /// Sends a request and reads its complete response, without a timeout. Dropping the future cancels the call.
     pub async fn call(&mut self, call: &Call<'_>) -> Result<Response, CallError> {
-        let head = self.start(call).await?;
-        let cut = |what: String| {
+        let head = self.send_request(call).await?;
+        let incomplete = |what: String| {
             CallError::MaybeExecuted(format!(
                 "response with status {} is incomplete: {what}",
                 head.status
             ))
         };
         let mut body =
-            BodyDecoder::new(head.framing, &self.limits).map_err(|b| cut(b.to_string()))?;
+            BodyDecoder::new(head.framing, &self.limits).map_err(|b| incomplete(b.to_string()))?;
         let mut content = Vec::new();
         loop {
-            match body.next(&self.buf).map_err(|b| cut(b.to_string()))? {
+            match body
+                .next(&self.buf)
+                .map_err(|b| incomplete(b.to_string()))?
+            {
                 Piece::Data(used, data) => {
                     content.extend_from_slice(data);
                     self.buf.drain(..used);
                 }
                 Piece::End(used) => {
                     self.buf.drain(..used);
-                    self.spent = !head.keep_alive;
+                    self.must_close = !head.keep_alive;
                     return Ok(Response {
                         head,
                         body: content,
@@ -275,9 +279,9 @@
                             body: content,
                         });
                     }
-                    Ok(0) => return Err(cut("connection closed".into())),
+                    Ok(0) => return Err(incomplete("connection closed".into())),
                     Ok(_) => {}
-                    Err(e) => return Err(cut(e.to_string())),
+                    Err(e) => return Err(incomplete(e.to_string())),
                 },
             }
         }
@@ -288,7 +292,7 @@
         mut self,
         call: &Call<'_>,
     ) -> Result<(ResponseHead, BodyStream<S>), CallError> {
-        let head = self.start(call).await?;
+        let head = self.send_request(call).await?;
         let body = BodyDecoder::unbounded(head.framing);
         Ok((
             head,
@@ -333,17 +337,17 @@
 
 /// Server-sent events from a response body.
 pub struct EventStream<S> {
-    incoming: BodyStream<S>,
+    body: BodyStream<S>,
     reader: sse::Decoder,
     ready: Vec<sse::Event>,
 }
 
 impl<S: AsyncRead + Unpin> EventStream<S> {
     /// `most` is the maximum size of one event in bytes.
-    pub fn new(incoming: BodyStream<S>, most: usize) -> EventStream<S> {
+    pub fn new(body: BodyStream<S>, max_event_bytes: usize) -> EventStream<S> {
         EventStream {
-            incoming,
-            reader: sse::Decoder::new(most),
+            body,
+            reader: sse::Decoder::new(max_event_bytes),
             ready: Vec::new(),
         }
     }
@@ -351,7 +355,7 @@
     /// The next events in order. Returns `None` if the stream has ended or broke, or if no byte arrived for the
     /// duration `silence`. A keep-alive returns an empty list.
     pub async fn next(&mut self, silence: Duration) -> Option<Vec<sse::Event>> {
-        let bytes = with_timeout(silence, self.incoming.next()).await??;
+        let bytes = with_timeout(silence, self.body.next()).await??;
         self.reader.feed(&bytes, &mut self.ready).ok()?;
         Some(std::mem::take(&mut self.ready))
     }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -17,12 +17,12 @@
 impl Fields {
     /// All values of a field in order. Names are compared case-insensitively.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
-        let same = move |(n, _): &&(Range<usize>, Range<usize>)| {
+        let has_name = move |(n, _): &&(Range<usize>, Range<usize>)| {
             self.block[n.clone()].eq_ignore_ascii_case(name.as_bytes())
         };
         self.spans
             .iter()
-            .filter(same)
+            .filter(has_name)
             .map(|(_, v)| &self.block[v.clone()])
     }
 
@@ -34,9 +34,10 @@
     }
 
     /// Whether a comma-separated field contains a token.
-    fn lists<'a>(&'a self, name: &'a str, token: &'a str) -> bool {
-        let is = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
-        self.all(name).any(|v| v.split(|b| *b == b',').any(is))
+    fn contains_token<'a>(&'a self, name: &'a str, token: &'a str) -> bool {
+        let matches_token = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
+        self.all(name)
+            .any(|v| v.split(|b| *b == b',').any(matches_token))
     }
 
     pub fn len(&self) -> usize {
@@ -78,7 +79,7 @@
 
     /// Whether the sender waits for `100 Continue` before it sends the content.
     pub fn expects_continue(&self) -> bool {
-        self.fields.lists("expect", "100-continue")
+        self.fields.contains_token("expect", "100-continue")
     }
 }
 
@@ -95,18 +96,18 @@
 /// that sends single bytes costs no more than one that sends the head at once.
 #[derive(Clone, Debug, Default)]
 pub struct HeadParser {
-    at: usize,
+    searched: usize,
 }
 
 impl HeadParser {
     /// Returns the length of the head including its empty line, or `None` if more bytes are needed.
     pub fn find_end(&mut self, buf: &[u8], limits: &Limits) -> Result<Option<usize>, HttpError> {
-        let from = self.at.saturating_sub(3);
+        let from = self.searched.saturating_sub(3);
         let end = buf[from..]
             .windows(4)
             .position(|w| w == b"\r\n\r\n")
             .map(|i| from + i + 4);
-        self.at = buf.len();
+        self.searched = buf.len();
         if end.unwrap_or(buf.len()) > limits.head {
             return Err(HttpError::new(431, "header block too large"));
         }
@@ -134,18 +135,18 @@
         let line = line
             .strip_suffix(b"\r")
             .ok_or(HttpError::new(400, "a line ends without CR"))?;
-        let (method, target) = start_line(line, limits)?;
+        let (method, target) = parse_request_line(line, limits)?;
         let Some(end) = self.find_end(rest, limits)? else {
             return Ok(None);
         };
-        let old = line.ends_with(b"1.0");
+        let is_http_1_0 = line.ends_with(b"1.0");
         let fields = parse_fields(&rest[line.len() + 2..end], limits)?;
-        let framing = framing(&fields, old)?.unwrap_or(Framing::Length(0));
-        if !old && fields.all("host").count() != 1 {
+        let framing = parse_framing(&fields, is_http_1_0)?.unwrap_or(Framing::Length(0));
+        if !is_http_1_0 && fields.all("host").count() != 1 {
             return Err(HttpError::new(400, "one Host is needed"));
         }
-        let keep_alive = !fields.lists("connection", "close")
-            && (!old || fields.lists("connection", "keep-alive"));
+        let keep_alive = !fields.contains_token("connection", "close")
+            && (!is_http_1_0 || fields.contains_token("connection", "keep-alive"));
         Ok(Some((
             RequestHead {
                 method,
@@ -170,28 +171,29 @@
             return Ok(None);
         };
         let line = buf[..end].split(|b| *b == b'\n').next().unwrap_or_default();
-        let bad = HttpError::new(502, "status line is malformed");
-        let line = line.strip_suffix(b"\r").ok_or(bad)?;
-        let old = line.starts_with(b"HTTP/1.0 ");
-        if !(old || line.starts_with(b"HTTP/1.1 ")) || line.len() < 12 {
-            return Err(bad);
+        let error = HttpError::new(502, "status line is malformed");
+        let line = line.strip_suffix(b"\r").ok_or(error)?;
+        let is_http_1_0 = line.starts_with(b"HTTP/1.0 ");
+        if !(is_http_1_0 || line.starts_with(b"HTTP/1.1 ")) || line.len() < 12 {
+            return Err(error);
         }
         let digits = &line[9..12];
         if !digits.iter().all(u8::is_ascii_digit) || !matches!(line.get(12), None | Some(b' ')) {
-            return Err(bad);
+            return Err(error);
         }
         let status = digits.iter().fold(0, |n, d| n * 10 + u16::from(d - b'0'));
-        if !(100..600).contains(&status) || line[12..].iter().any(|b| control(*b)) {
-            return Err(bad);
+        if !(100..600).contains(&status) || line[12..].iter().any(|b| is_control(*b)) {
+            return Err(error);
         }
         let fields = parse_fields(&buf[line.len() + 2..end], limits)?;
-        let framing = match framing(&fields, old)? {
+        let framing = match parse_framing(&fields, is_http_1_0)? {
             _ if bodiless || status < 200 || status == 204 || status == 304 => Framing::Length(0),
             Some(f) => f,
-            None => Framing::ToClose,
+            None => Framing::UntilClose,
         };
-        let keep_alive =
-            !old && framing != Framing::ToClose && !fields.lists("connection", "close");
+        let keep_alive = !is_http_1_0
+            && framing != Framing::UntilClose
+            && !fields.contains_token("connection", "close");
         Ok(Some((
             ResponseHead {
                 status,
@@ -204,42 +206,42 @@
     }
 }
 
-fn token(b: u8) -> bool {
+fn is_token_byte(b: u8) -> bool {
     b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b)
 }
 
 /// Whether a byte is a control character other than the tab, which a field value must not contain.
-fn control(b: u8) -> bool {
+fn is_control(b: u8) -> bool {
     (b < 0x20 && b != b'\t') || b == 0x7f
 }
 
-fn start_line(line: &[u8], limits: &Limits) -> Result<(String, String), HttpError> {
-    let bad = HttpError::new(400, "request line is malformed");
+fn parse_request_line(line: &[u8], limits: &Limits) -> Result<(String, String), HttpError> {
+    let error = HttpError::new(400, "request line is malformed");
     let mut parts = line.split(|b| *b == b' ');
     let (Some(method), Some(target), Some(version), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
-        return Err(bad);
+        return Err(error);
     };
     if method.is_empty()
         || method.len() > 24
-        || !method.iter().all(|b| token(*b))
+        || !method.iter().all(|b| is_token_byte(*b))
         || target.is_empty()
     {
-        return Err(bad);
+        return Err(error);
     }
     if target.len() > limits.target {
         return Err(HttpError::new(414, "request target too long"));
     }
     if !target.iter().all(u8::is_ascii_graphic) {
-        return Err(bad);
+        return Err(error);
     }
     match version {
         b"HTTP/1.1" | b"HTTP/1.0" => {}
         v if v.starts_with(b"HTTP/") => {
             return Err(HttpError::new(505, "only version 1.1 is spoken here"));
         }
-        _ => return Err(bad),
+        _ => return Err(error),
     }
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     Ok((text(method), text(target)))
@@ -275,11 +277,11 @@
             .iter()
             .position(|b| *b == b':')
             .ok_or(HttpError::new(400, "a header field has no colon"))?;
-        if colon == 0 || !line[..colon].iter().all(|b| token(*b)) {
+        if colon == 0 || !line[..colon].iter().all(|b| is_token_byte(*b)) {
             return Err(HttpError::new(400, "a header field's name is malformed"));
         }
         let value = &line[colon + 1..];
-        if value.iter().any(|b| control(*b)) {
+        if value.iter().any(|b| is_control(*b)) {
             return Err(HttpError::new(
                 400,
                 "a header field's value holds a control character",
@@ -299,7 +301,7 @@
 
 /// How the content is delimited (RFC 9112, section 6.3). Conflicting framings are rejected, since they allow request
 /// smuggling.
-fn framing(fields: &Fields, old: bool) -> Result<Option<Framing>, HttpError> {
+fn parse_framing(fields: &Fields, is_http_1_0: bool) -> Result<Option<Framing>, HttpError> {
     let mut lengths = fields.all("content-length");
     let length = lengths.next();
     if lengths.next().is_some() {
@@ -312,7 +314,7 @@
             400,
             "both Content-Length and Transfer-Encoding",
         )),
-        (None, Some(_)) if old => Err(HttpError::new(400, "Transfer-Encoding in HTTP/1.0")),
+        (None, Some(_)) if is_http_1_0 => Err(HttpError::new(400, "Transfer-Encoding in HTTP/1.0")),
         (None, Some(c)) if c.eq_ignore_ascii_case(b"chunked") && codings.next().is_none() => {
             Ok(Some(Framing::Chunked))
         }
@@ -364,12 +366,12 @@
     }
 }
 
-fn put_fields(out: &mut Vec<u8>, fields: &[(&str, &str)]) {
+fn write_fields(out: &mut Vec<u8>, fields: &[(&str, &str)]) {
     for (name, value) in fields {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
         // Control characters are dropped: a line end inside a value would allow header injection.
-        out.extend(value.bytes().filter(|b| !control(*b)));
+        out.extend(value.bytes().filter(|b| !is_control(*b)));
         out.extend_from_slice(b"\r\n");
     }
 }
@@ -380,7 +382,7 @@
     out.push(b' ');
     out.extend(target.bytes().filter(u8::is_ascii_graphic));
     out.extend_from_slice(b" HTTP/1.1\r\n");
-    put_fields(out, fields);
+    write_fields(out, fields);
     out.extend_from_slice(b"\r\n");
 }
 
@@ -391,6 +393,6 @@
     out.push(b' ');
     out.extend_from_slice(reason_phrase(status).as_bytes());
     out.extend_from_slice(b"\r\n");
-    put_fields(out, fields);
+    write_fields(out, fields);
     out.extend_from_slice(b"\r\n");
 }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -45,8 +45,8 @@
 
     /// Opens a new connection outside the pool, for content without an end.
     pub async fn connect(&self) -> Result<Connection<Async<TcpStream>>, CallError> {
-        let made = Async::<TcpStream>::connect(self.address).await;
-        let stream = made.map_err(|e| {
+        let connected = Async::<TcpStream>::connect(self.address).await;
+        let stream = connected.map_err(|e| {
             CallError::NotConnected(ConnectErrorKind::of(&e), format!("connect failed: {e}"))
         })?;
         // Requests and answers are small, so Nagle's algorithm would only add latency.
@@ -54,13 +54,13 @@
         Ok(Connection::new(stream, self.limits.clone()))
     }
 
-    async fn take(&self) -> Result<Connection<Async<TcpStream>>, CallError> {
+    async fn checkout(&self) -> Result<Connection<Async<TcpStream>>, CallError> {
         loop {
-            let Some((since, mut kept)) = self.idle.borrow_mut().pop() else {
+            let Some((idle_since, mut connection)) = self.idle.borrow_mut().pop() else {
                 return self.connect().await;
             };
-            if since.elapsed() < self.idle_timeout && !kept.is_closed_by_peer().await {
-                return Ok(kept);
+            if idle_since.elapsed() < self.idle_timeout && !connection.is_closed_by_peer().await {
+                return Ok(connection);
             }
         }
     }
@@ -68,7 +68,7 @@
     /// Executes one call, on an idle connection if there is one. The call is never sent twice: a reused connection
     /// that breaks during the call fails it like a new one.
     pub async fn call(&self, call: &Call<'_>) -> Result<Response, CallError> {
-        let mut connection = self.take().await?;
+        let mut connection = self.checkout().await?;
         let response = connection.call(call).await?;
         let mut idle = self.idle.borrow_mut();
         if connection.reusable() && idle.len() < self.max_idle {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -152,11 +152,11 @@
         limits,
     };
     loop {
-        let request = match server.read(hooks).await {
+        let request = match server.read_request(hooks).await {
             Ok(request) => request,
             Err(ConnectionEnd::Rejected(bad)) => {
                 let reply = Reply::problem(bad.status, bad.detail);
-                if server.write(reply, false).await.is_some() {
+                if server.write_reply(reply, false).await.is_some() {
                     server.linger().await;
                 }
                 return ConnectionEnd::Rejected(bad);
@@ -165,10 +165,10 @@
         };
         hooks.on_request_complete();
         let keep_alive = request.head.keep_alive;
-        let Some(reply) = server.answer(handle(request)).await else {
+        let Some(reply) = server.while_connected(handle(request)).await else {
             return ConnectionEnd::PeerClosed;
         };
-        match server.write(reply, keep_alive).await {
+        match server.write_reply(reply, keep_alive).await {
             Some(true) => hooks.on_idle(),
             Some(false) => return ConnectionEnd::Idle,
             None => return ConnectionEnd::WriteFailed,
@@ -177,7 +177,10 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Server<'_, S> {
-    async fn read(&mut self, hooks: &mut impl ConnectionHooks) -> Result<Request, ConnectionEnd> {
+    async fn read_request(
+        &mut self,
+        hooks: &mut impl ConnectionHooks,
+    ) -> Result<Request, ConnectionEnd> {
         if self.buf.is_empty() {
             let first = with_timeout(
                 self.limits.idle_timeout,
@@ -188,40 +191,41 @@
                 return Err(ConnectionEnd::Idle);
             }
         }
-        let late = |buf: &mut Vec<u8>, what| {
+        let timed_out = |buf: &mut Vec<u8>, what| {
             // The peer gets an answer; the bytes of its incomplete request are dropped.
             buf.clear();
             ConnectionEnd::Rejected(HttpError::new(408, what))
         };
         let limits = self.limits;
-        let head = with_timeout(limits.head_timeout, self.head()).await;
+        let head = with_timeout(limits.head_timeout, self.read_head()).await;
         let (head, size) =
-            head.unwrap_or_else(|| Err(late(&mut self.buf, "the head took too long")))?;
-        let most = hooks
+            head.unwrap_or_else(|| Err(timed_out(&mut self.buf, "the head took too long")))?;
+        let max_body_bytes = hooks
             .on_request_head(&head, size)
             .map_err(ConnectionEnd::Rejected)?
             .min(limits.body);
-        let own = Limits {
-            body: most,
+        let request_limits = Limits {
+            body: max_body_bytes,
             ..limits.clone()
         };
-        let mut body = BodyDecoder::new(head.framing, &own).map_err(ConnectionEnd::Rejected)?;
+        let mut body =
+            BodyDecoder::new(head.framing, &request_limits).map_err(ConnectionEnd::Rejected)?;
         if head.expects_continue() && self.buf.is_empty() {
-            self.put(b"HTTP/1.1 100 Continue\r\n\r\n", limits.write_timeout)
+            self.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", limits.write_timeout)
                 .await
                 .ok_or(ConnectionEnd::WriteFailed)?;
         }
-        let content = with_timeout(limits.body_timeout, self.content(&mut body)).await;
-        let body =
-            content.unwrap_or_else(|| Err(late(&mut self.buf, "the content took too long")))?;
+        let content = with_timeout(limits.body_timeout, self.read_content(&mut body)).await;
+        let body = content
+            .unwrap_or_else(|| Err(timed_out(&mut self.buf, "the content took too long")))?;
         Ok(Request { head, body })
     }
 
     /// Reads a head. Returns it with its size in bytes.
-    async fn head(&mut self) -> Result<(RequestHead, usize), ConnectionEnd> {
-        let mut finder = HeadParser::default();
+    async fn read_head(&mut self) -> Result<(RequestHead, usize), ConnectionEnd> {
+        let mut parser = HeadParser::default();
         loop {
-            if let Some((head, used)) = finder
+            if let Some((head, used)) = parser
                 .parse_request(&self.buf, self.limits)
                 .map_err(ConnectionEnd::Rejected)?
             {
@@ -234,7 +238,7 @@
         }
     }
 
-    async fn content(&mut self, body: &mut BodyDecoder) -> Result<Vec<u8>, ConnectionEnd> {
+    async fn read_content(&mut self, body: &mut BodyDecoder) -> Result<Vec<u8>, ConnectionEnd> {
         let mut content = Vec::new();
         loop {
             match body.next(&self.buf).map_err(ConnectionEnd::Rejected)? {
@@ -257,13 +261,13 @@
 
     /// Runs `work` (the handler, or the next piece) while watching the peer. Returns `None` if the peer closed the
     /// connection.
-    async fn answer<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
+    async fn while_connected<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let Server {
             stream,
             buf,
             limits,
         } = self;
-        let gone = async {
+        let peer_closed = async {
             // Early bytes belong to the next request. They are buffered up to the limit; beyond it nothing is read.
             while buf.len() < limits.read_ahead {
                 if !matches!(fill(stream, buf).await, Ok(n) if n > 0) {
@@ -272,7 +276,7 @@
             }
             future::pending().await
         };
-        future::or(async { Some(work.await) }, gone).await
+        future::or(async { Some(work.await) }, peer_closed).await
     }
 
     /// Reads and drops what a rejected peer still sends, for a limited time and size. Closing a socket with unread
@@ -283,12 +287,12 @@
             buf,
             limits,
         } = self;
-        let mut left = limits.body;
+        let mut remaining = limits.body;
         let drain = async {
-            while left > 0 {
+            while remaining > 0 {
                 buf.clear();
                 match fill(stream, buf).await {
-                    Ok(n) if n > 0 => left = left.saturating_sub(n),
+                    Ok(n) if n > 0 => remaining = remaining.saturating_sub(n),
                     _ => return,
                 }
             }
@@ -296,20 +300,21 @@
         with_timeout(Duration::from_millis(300), drain).await;
     }
 
-    async fn put(&mut self, bytes: &[u8], within: Duration) -> Option<()> {
+    async fn write_all(&mut self, bytes: &[u8], within: Duration) -> Option<()> {
         with_timeout(within, self.stream.write_all(bytes))
             .await?
             .ok()
     }
 
     /// Writes a reply. Returns whether another request may follow, or `None` if a write timed out or failed.
-    async fn write(&mut self, reply: Reply, keep_alive: bool) -> Option<bool> {
+    async fn write_reply(&mut self, reply: Reply, keep_alive: bool) -> Option<bool> {
         let Reply {
             status,
             fields,
             content,
         } = reply;
-        let mut list: Vec<(&str, &str)> = fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
+        let mut header_fields: Vec<(&str, &str)> =
+            fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
         let length = if let Content::Complete(bytes) = &content {
             bytes.len().to_string()
         } else {
@@ -318,30 +323,30 @@
         match &content {
             // A 204 has no content and no Content-Length (RFC 9110, section 8.6).
             Content::Complete(_) if status == 204 => {}
-            Content::Complete(_) => list.push(("Content-Length", &length)),
-            Content::Stream(_) => list.push(("Transfer-Encoding", "chunked")),
+            Content::Complete(_) => header_fields.push(("Content-Length", &length)),
+            Content::Stream(_) => header_fields.push(("Transfer-Encoding", "chunked")),
         }
         if !keep_alive {
-            list.push(("Connection", "close"));
+            header_fields.push(("Connection", "close"));
         }
         let mut out = Vec::with_capacity(512);
-        write_response(&mut out, status, &list);
+        write_response(&mut out, status, &header_fields);
         let within = self.limits.write_timeout;
         match content {
             Content::Complete(bytes) => {
                 out.extend_from_slice(&bytes);
-                self.put(&out, within).await?;
+                self.write_all(&out, within).await?;
             }
             Content::Stream(mut pieces) => {
-                self.put(&out, within).await?;
+                self.write_all(&out, within).await?;
                 loop {
-                    let next = self.answer(pieces.next()).await?;
+                    let next = self.while_connected(pieces.next()).await?;
                     out.clear();
                     match &next {
                         Some(piece) => write_chunk(&mut out, piece),
                         None => out.extend_from_slice(LAST_CHUNK),
                     }
-                    self.put(&out, within).await?;
+                    self.write_all(&out, within).await?;
                     if next.is_none() {
                         break;
                     }
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -14,23 +14,23 @@
 pub struct Decoder {
     line: Vec<u8>,
     event: Event,
-    most: usize,
+    max_event_bytes: usize,
 }
 
 impl Decoder {
     /// `most` is the maximum size of one event in bytes.
-    pub fn new(most: usize) -> Decoder {
+    pub fn new(max_event_bytes: usize) -> Decoder {
         Decoder {
             line: Vec::new(),
             event: Event::default(),
-            most,
+            max_event_bytes,
         }
     }
 
     /// Decodes more bytes and appends the completed events to `out`.
     pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), HttpError> {
         for part in bytes.split_inclusive(|b| *b == b'\n') {
-            if self.line.len() + self.event.data.len() + part.len() > self.most {
+            if self.line.len() + self.event.data.len() + part.len() > self.max_event_bytes {
                 return Err(HttpError::new(413, "event over the limit"));
             }
             self.line.extend_from_slice(part);
@@ -38,13 +38,13 @@
                 let line = std::mem::take(&mut self.line);
                 let text = std::str::from_utf8(&line)
                     .map_err(|_| HttpError::new(400, "event is not UTF-8"))?;
-                self.take(text.trim_end_matches(['\n', '\r']), out);
+                self.process_line(text.trim_end_matches(['\n', '\r']), out);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, line: &str, out: &mut Vec<Event>) {
+    fn process_line(&mut self, line: &str, out: &mut Vec<Event>) {
         if line.is_empty() {
             let event = std::mem::take(&mut self.event);
             if !event.data.is_empty() || !event.kind.is_empty() {
--- a/crates/http/tests/parser.rs
+++ b/crates/http/tests/parser.rs
@@ -1,4 +1,4 @@
-//! The parser against httparse and against its own writer, on random messages and random bytes.
+//! Property tests of the parser, compared with httparse and with this crate's writer.
 
 use proptest::prelude::*;
 use shalewall_http::body::{BodyDecoder, Framing, LAST_CHUNK, Piece, write_chunk};
@@ -6,10 +6,10 @@
 use shalewall_http::{Limits, sse};
 
 /// Method, target and fields.
-type Theirs = (String, String, Vec<(String, Vec<u8>)>);
+type HttparseRequest = (String, String, Vec<(String, Vec<u8>)>);
 
-/// Fields as an independent parser reads them. None: it wants more, or it refuses.
-fn theirs(bytes: &[u8]) -> Option<Theirs> {
+/// Parses a request with httparse, an independent parser. Returns `None` if it is incomplete or rejected.
+fn parse_with_httparse(bytes: &[u8]) -> Option<HttparseRequest> {
     let mut space = [httparse::EMPTY_HEADER; 64];
     let mut request = httparse::Request::new(&mut space);
     match request.parse(bytes) {
@@ -29,7 +29,7 @@
     }
 }
 
-fn whole(
+fn decode_body(
     mut body: BodyDecoder,
     mut bytes: &[u8],
 ) -> Result<Option<Vec<u8>>, shalewall_http::HttpError> {
@@ -50,7 +50,7 @@
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_is_read(
+    fn written_requests_are_parsed(
         method in "[A-Z]{1,8}", target in "/[a-z0-9/?=&%.-]{0,60}",
         fields in prop::collection::vec(("X-[A-Za-z0-9]{1,12}", "[ -~]{0,40}"), 0..20),
     ) {
@@ -62,22 +62,22 @@
         prop_assert_eq!(used, out.len());
         prop_assert_eq!((&head.method, &head.target), (&method, &target));
         prop_assert_eq!(head.fields.len(), list.len());
-        let theirs = theirs(&out).unwrap();
-        prop_assert_eq!(&theirs.0, &method);
-        for (name, value) in &theirs.2 {
+        let expected = parse_with_httparse(&out).unwrap();
+        prop_assert_eq!(&expected.0, &method);
+        for (name, value) in &expected.2 {
             let value = value.trim_ascii();
             prop_assert!(head.fields.all(name).any(|v| v == value), "{} {:?}", name, value);
         }
-        // However it is split, it is read once and the same.
-        let mut finder = HeadParser::default();
+        // Incremental parsing completes only with the last byte.
+        let mut parser = HeadParser::default();
         for at in 0..out.len() {
-            prop_assert!(finder.parse_request(&out[..at], &Limits::default()).unwrap().is_none());
+            prop_assert!(parser.parse_request(&out[..at], &Limits::default()).unwrap().is_none());
         }
-        prop_assert!(finder.parse_request(&out, &Limits::default()).unwrap().is_some());
+        prop_assert!(parser.parse_request(&out, &Limits::default()).unwrap().is_some());
     }
 
     #[test]
-    fn what_is_accepted_the_other_parser_accepts_alike(
+    fn accepted_requests_are_accepted_by_httparse(
         bytes in prop::collection::vec(prop::sample::select(
             &b"GET / HTTP/1.1\r\n: Hosta,chunked0\0\t\x7f\x80"[..]), 0..80),
     ) {
@@ -85,10 +85,10 @@
         message.extend_from_slice(&bytes);
         message.extend_from_slice(b"\r\n\r\n");
         if let Ok(Some((head, used))) = HeadParser::default().parse_request(&message, &Limits::default()) {
-            let theirs = theirs(&message);
-            prop_assert!(theirs.is_some(), "accepted here only: {:?}", String::from_utf8_lossy(&message));
-            let theirs = theirs.unwrap();
-            prop_assert_eq!(theirs.2.len(), head.fields.len());
+            let expected = parse_with_httparse(&message);
+            prop_assert!(expected.is_some(), "accepted by this parser only: {:?}", String::from_utf8_lossy(&message));
+            let expected = expected.unwrap();
+            prop_assert_eq!(expected.2.len(), head.fields.len());
             prop_assert!(used <= message.len());
         }
     }
@@ -98,25 +98,25 @@
         let limits = Limits { head: 200, ..Limits::default() };
         let _ = HeadParser::default().parse_request(&bytes, &limits);
         let _ = HeadParser::default().parse_response(&bytes, &limits, false);
-        let _ = whole(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &bytes);
+        let _ = decode_body(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &bytes);
         let _ = sse::Decoder::new(100).feed(&bytes, &mut Vec::new());
     }
 
     #[test]
-    fn chunks_come_back_whole(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..50), 0..8)) {
+    fn chunks_round_trip(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..50), 0..8)) {
         let mut out = Vec::new();
         parts.iter().for_each(|p| write_chunk(&mut out, p));
         out.extend_from_slice(LAST_CHUNK);
         let limits = Limits::default();
-        let content = whole(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &out).unwrap();
+        let content = decode_body(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &out).unwrap();
         prop_assert_eq!(content, Some(parts.concat()));
         for at in 0..out.len() {
-            prop_assert_eq!(whole(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &out[..at]).unwrap(), None);
+            prop_assert_eq!(decode_body(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &out[..at]).unwrap(), None);
         }
     }
 
     #[test]
-    fn events_come_back_however_they_are_split(
+    fn events_round_trip_in_any_split(
         events in prop::collection::vec(("[a-z]{1,8}", "[ -9;-~]{1,40}"), 1..6), size in 1..20usize,
     ) {
         let mut out = Vec::new();
@@ -124,15 +124,15 @@
             sse::write_event(&mut out, kind, data);
             out.extend_from_slice(sse::KEEP_ALIVE);
         }
-        let (mut reader, mut got) = (sse::Decoder::new(1000), Vec::new());
-        out.chunks(size).for_each(|part| reader.feed(part, &mut got).unwrap());
-        let got: Vec<_> = got.into_iter().map(|e| (e.kind, e.data)).collect();
-        prop_assert_eq!(got, events);
+        let (mut decoder, mut decoded) = (sse::Decoder::new(1000), Vec::new());
+        out.chunks(size).for_each(|part| decoder.feed(part, &mut decoded).unwrap());
+        let decoded: Vec<_> = decoded.into_iter().map(|e| (e.kind, e.data)).collect();
+        prop_assert_eq!(decoded, events);
     }
 }
 
 #[test]
-fn responses_are_framed_by_their_status() {
+fn response_framing_depends_on_status_and_fields() {
     let read = |text: &str, bodiless| {
         HeadParser::default().parse_response(text.as_bytes(), &Limits::default(), bodiless)
     };
@@ -141,7 +141,7 @@
         head("HTTP/1.1 204 No Content\r\n\r\n").framing,
         Framing::Length(0)
     );
-    assert_eq!(head("HTTP/1.1 200 OK\r\n\r\n").framing, Framing::ToClose);
+    assert_eq!(head("HTTP/1.1 200 OK\r\n\r\n").framing, Framing::UntilClose);
     assert!(!head("HTTP/1.1 200 OK\r\n\r\n").keep_alive);
     assert!(head("HTTP/1.1 200\r\nContent-Length: 4\r\n\r\n").keep_alive);
     assert!(!head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: Close\r\n\r\n").keep_alive);
@@ -161,6 +161,6 @@
     assert_eq!(
         head.fields.len(),
         1,
-        "a value can't bring a field of its own"
+        "a line end in a value must not inject a field"
     );
 }
--- a/crates/http/tests/hostile.rs
+++ b/crates/http/tests/server.rs
@@ -1,5 +1,5 @@
-//! Messages that are wrong on purpose: each gets its status and a closed connection, and the server goes on
-//! serving others.
+//! The server with malformed, truncated and pipelined requests: each rejection has its status and closes the
+//! connection. Also the classification of connect errors.
 
 use async_io::{Async, block_on};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -20,13 +20,13 @@
     }
 }
 
-/// What a server says to these bytes, and how it ended.
-fn answer_to(bytes: &[u8], close: bool) -> (String, ConnectionEnd) {
+/// Sends bytes to a server. Returns its response and how the connection ended.
+fn exchange(bytes: &[u8], close: bool) -> (String, ConnectionEnd) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let limits = limits();
     block_on(async {
-        // Connected before it is accepted: the listener blocks.
+        // Connects before the accept, because the listener blocks.
         let mut stream = Async::<TcpStream>::connect(address).await.unwrap();
         let accepted = Async::new(listener.accept().unwrap().0).unwrap();
         let server = async {
@@ -43,17 +43,17 @@
                     .shutdown(std::net::Shutdown::Write)
                     .unwrap();
             }
-            let mut said = Vec::new();
-            let _ = stream.read_to_end(&mut said).await;
-            String::from_utf8_lossy(&said).into_owned()
+            let mut response = Vec::new();
+            let _ = stream.read_to_end(&mut response).await;
+            String::from_utf8_lossy(&response).into_owned()
         };
-        let (ended, said) = future::zip(server, client).await;
-        (said, ended)
+        let (connection_end, response) = future::zip(server, client).await;
+        (response, connection_end)
     })
 }
 
 #[test]
-fn each_hostile_message_gets_its_status() {
+fn malformed_requests_get_their_status() {
     let long = "x".repeat(2000);
     let fields: String = (0..11).map(|i| format!("A{i}: b\r\n")).collect();
     let table: Vec<(&str, String, u16)> = vec![
@@ -192,23 +192,23 @@
         ),
     ];
     for (name, bytes, status) in table {
-        let (said, ended) = answer_to(bytes.as_bytes(), false);
+        let (response, connection_end) = exchange(bytes.as_bytes(), false);
         assert!(
-            said.starts_with(&format!("HTTP/1.1 {status} ")),
-            "{name}: {said}"
+            response.starts_with(&format!("HTTP/1.1 {status} ")),
+            "{name}: {response}"
         );
         assert!(
-            said.contains("Connection: close") && said.contains("problem+json"),
-            "{name}: {said}"
+            response.contains("Connection: close") && response.contains("problem+json"),
+            "{name}: {response}"
         );
         assert_eq!(
-            said.matches("HTTP/1.1").count(),
+            response.matches("HTTP/1.1").count(),
             1,
-            "{name}: one answer only"
+            "{name}: only one response"
         );
         assert!(
-            matches!(ended, ConnectionEnd::Rejected(bad) if bad.status == status),
-            "{name}: {ended:?}"
+            matches!(connection_end, ConnectionEnd::Rejected(bad) if bad.status == status),
+            "{name}: {connection_end:?}"
         );
     }
 }
@@ -218,34 +218,34 @@
     let bytes = b"\r\nGET /a HTTP/1.1\r\nHost: a\r\n\r\nPOST /b HTTP/1.1\r\nhost: a\r\n\
         Transfer-Encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n\
         GET /c HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-    let (said, ended) = answer_to(bytes, false);
+    let (response, connection_end) = exchange(bytes, false);
     let places: Vec<_> = ["/a 0", "/b 5", "/c 0"]
         .iter()
-        .map(|p| said.find(p).expect(p))
+        .map(|p| response.find(p).expect(p))
         .collect();
-    assert!(places.is_sorted(), "{said}");
-    assert!(matches!(ended, ConnectionEnd::Idle));
+    assert!(places.is_sorted(), "{response}");
+    assert!(matches!(connection_end, ConnectionEnd::Idle));
 }
 
 #[test]
-fn a_request_cut_at_any_byte_is_never_handled() {
-    let whole = b"POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabcde";
-    for at in 1..whole.len() {
-        let (said, ended) = answer_to(&whole[..at], true);
-        assert!(said.is_empty(), "cut at {at}: {said}");
+fn request_truncated_at_any_byte_is_not_handled() {
+    let request = b"POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabcde";
+    for at in 1..request.len() {
+        let (response, connection_end) = exchange(&request[..at], true);
+        assert!(response.is_empty(), "truncated at {at}: {response}");
         assert!(
-            matches!(ended, ConnectionEnd::Truncated(_)),
-            "cut at {at}: {ended:?}"
+            matches!(connection_end, ConnectionEnd::Truncated(_)),
+            "truncated at {at}: {connection_end:?}"
         );
     }
 }
 
 #[test]
-fn a_peer_that_leaves_drops_the_handler() {
+fn handler_is_dropped_when_the_peer_disconnects() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let limits = limits();
-    let ended = block_on(async {
+    let connection_end = block_on(async {
         let mut client = Async::<TcpStream>::connect(address).await.unwrap();
         client
             .write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -255,12 +255,12 @@
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
         serve(stream, &limits, |_| future::pending()).await
     });
-    assert!(matches!(ended, ConnectionEnd::PeerClosed));
+    assert!(matches!(connection_end, ConnectionEnd::PeerClosed));
 }
 
-/// What a failure to connect says of the other side: only a refusal is proof that nobody is there.
+/// Only a refused connection proves that no process listens on the address.
 #[test]
-fn failures_to_connect_are_told_apart() {
+fn connect_errors_are_classified() {
     use shalewall_http::client::ConnectErrorKind;
     let of = |errno: rustix::io::Errno| {
         ConnectErrorKind::of(&std::io::Error::from_raw_os_error(errno.raw_os_error()))
