--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -97,13 +97,13 @@
         match route.operation {
             Operation::Service(operation) => {
                 self.authorize(route, &call.caller, None)?;
-                self.serve_service(operation, id, &call)
+                self.execute_service_operation(operation, id, &call)
             }
             Operation::Tenant(operation) => {
                 // No tenant can have an invalid id.
                 let id = TenantId::try_from(id.to_string()).map_err(|_| ApiError::NotFound)?;
                 self.authorize(route, &call.caller, Some(&id))?;
-                self.serve_tenant(operation, &id, &call)
+                self.execute_tenant_operation(operation, &id, &call)
             }
         }
     }
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -276,16 +276,21 @@
 
 /// Finds the operation of a method and a path.
 pub fn resolve<'path>(method: &str, path: &'path str) -> Resolution<'path> {
-    let of_path: Vec<(&'static Route, &str)> = ROUTES
+    let path_matches: Vec<(&'static Route, &str)> = ROUTES
         .iter()
         .filter_map(|route| Some((route, match_path(route.path, path)?)))
         .collect();
-    if of_path.is_empty() {
+    if path_matches.is_empty() {
         return Resolution::UnknownPath;
     }
-    match of_path.iter().find(|(route, _)| route.method == method) {
+    match path_matches
+        .iter()
+        .find(|(route, _)| route.method == method)
+    {
         Some((route, id)) => Resolution::Found { route, id },
-        None => Resolution::OtherMethods(of_path.iter().map(|(route, _)| route.method).collect()),
+        None => {
+            Resolution::OtherMethods(path_matches.iter().map(|(route, _)| route.method).collect())
+        }
     }
 }
 
--- a/crates/admin/src/service_operations.rs
+++ b/crates/admin/src/service_operations.rs
@@ -32,21 +32,21 @@
     tenant: Option<String>,
 }
 
-fn ok(content: Value) -> Result<Reply, ApiError> {
+fn json_reply(content: Value) -> Result<Reply, ApiError> {
     Ok(Reply::json(200, content.to_string()))
 }
 
 impl Api {
     /// Executes an operation. `id` is the id in the path, or empty if the path has none.
-    pub(crate) fn serve_service(
+    pub(crate) fn execute_service_operation(
         &self,
         operation: ServiceOperation,
         id: &str,
         call: &Call<'_>,
     ) -> Result<Reply, ApiError> {
         match operation {
-            ServiceOperation::OpenApi => ok(openapi::document()),
-            ServiceOperation::TermsSchema => ok(terms_schema().clone()),
+            ServiceOperation::OpenApi => json_reply(openapi::document()),
+            ServiceOperation::TermsSchema => json_reply(terms_schema().clone()),
             ServiceOperation::ListTenants => self.list_tenants(call),
             ServiceOperation::CreateTenant => self.create_tenant(call),
             ServiceOperation::Changes => self.read_changes(call),
@@ -67,7 +67,7 @@
         let tenants = self.store.list_tenants(after.as_ref(), rows)?;
         let last_of_full_page = tenants.last().filter(|_| tenants.len() == rows);
         let next = last_of_full_page.map(|tenant| tenant.id.to_string());
-        ok(json!({ "tenants": tenants, "next": next }))
+        json_reply(json!({ "tenants": tenants, "next": next }))
     }
 
     fn create_tenant(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
@@ -103,14 +103,14 @@
     fn read_changes(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
         let after = query_number(call.request, "after", 0)?;
         let changed = self.store.changed_since(after)?;
-        ok(json!({ "number": changed.last_change_number, "tenants": changed.tenants }))
+        json_reply(json!({ "number": changed.last_change_number, "tenants": changed.tenants }))
     }
 
     fn report_usage(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
         let report: UsageReport = content(call.request, "front, number and held are needed")?;
-        let wanted = self.usage.borrow_mut().record(call.now, report);
-        let wanted = wanted.map_err(|TooManyDirectors| ApiError::TooManyDirectors)?;
-        ok(json!({ "sessions_of": wanted }))
+        let requested = self.usage.borrow_mut().record(call.now, report);
+        let requested = requested.map_err(|TooManyDirectors| ApiError::TooManyDirectors)?;
+        json_reply(json!({ "sessions_of": requested }))
     }
 
     fn list_tokens(&self) -> Result<Reply, ApiError> {
@@ -122,7 +122,7 @@
                 json!({ "id": token.id, "role": token.role, "made": token.created_at, "revoked": token.revoked_at })
             })
             .collect();
-        ok(json!({ "tokens": tokens }))
+        json_reply(json!({ "tokens": tokens }))
     }
 
     /// Creates a token. Only this answer contains the token's text.
--- a/crates/admin/src/tenant_operations.rs
+++ b/crates/admin/src/tenant_operations.rs
@@ -19,7 +19,7 @@
 }
 
 impl Api {
-    pub(crate) fn serve_tenant(
+    pub(crate) fn execute_tenant_operation(
         &self,
         operation: TenantOperation,
         id: &TenantId,
@@ -41,13 +41,13 @@
         }
     }
 
-    fn existing_tenant(&self, id: &TenantId) -> Result<Tenant, ApiError> {
+    fn find_tenant(&self, id: &TenantId) -> Result<Tenant, ApiError> {
         self.store.tenant(id)?.ok_or(ApiError::NotFound)
     }
 
     /// Answers 404 for a deleted tenant, although its history is still available.
     fn read_tenant(&self, id: &TenantId) -> Result<Reply, ApiError> {
-        let tenant = self.existing_tenant(id)?;
+        let tenant = self.find_tenant(id)?;
         match tenant.state {
             TenantState::Deleted { .. } => Err(ApiError::NotFound),
             _ => Ok(tenant_reply(200, &tenant)),
@@ -67,7 +67,7 @@
     }
 
     fn read_usage(&self, id: &TenantId, call: &Call<'_>) -> Result<Reply, ApiError> {
-        let tenant = self.existing_tenant(id)?;
+        let tenant = self.find_tenant(id)?;
         let directors = self.usage.borrow().usage_by_director(call.now, id);
         let sessions: u64 = directors
             .iter()
@@ -80,7 +80,7 @@
     /// Directors report a tenant's sessions only on request. Until all directors have done so, the answer has a
     /// `Retry-After` field.
     fn read_sessions(&self, id: &TenantId, call: &Call<'_>) -> Result<Reply, ApiError> {
-        let tenant = self.existing_tenant(id)?;
+        let tenant = self.find_tenant(id)?;
         let directors = self.usage.borrow_mut().sessions_by_director(call.now, id);
         let content = json!({ "tenant": tenant.id, "fronts": directors });
         let reply = Reply::json(200, content.to_string());
--- a/crates/admin/tests/authorization.rs
+++ b/crates/admin/tests/authorization.rs
@@ -1,4 +1,4 @@
-//! Who may call which operation, and how often.
+//! Authorization and rate limits of operations.
 
 mod support;
 
@@ -9,9 +9,9 @@
 use support::{ADMIN, OPERATOR, READER, TestApi};
 
 #[test]
-fn every_operation_by_every_role_on_its_own_tenant_and_another() {
+fn operations_are_authorized_by_role_and_tenant() {
     let mut api = TestApi::new();
-    // Operator, administrator and reader of a: of a, and of b.
+    // Statuses for the operator, and for the administrator and reader of tenant a: on tenant a, then on tenant b.
     let table = [
         (
             Operation::Service(ServiceOperation::OpenApi),
@@ -107,7 +107,7 @@
     assert_eq!(table.len(), ROUTES.len());
     for (operation, own, other) in table {
         for (tenant, expected) in [("a", own), ("b", other)] {
-            // Deleted last, and by the operator last of all.
+            // The table ends with the deletion, and the operator comes last, because it succeeds.
             for caller in [READER, ADMIN, OPERATOR] {
                 let status = api.call(caller, operation, tenant).status;
                 assert_eq!(
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn another_tenant_and_a_missing_one_are_answered_alike() {
+fn other_tenants_and_missing_tenants_get_identical_answers() {
     let mut api = TestApi::new();
     for route in ROUTES.iter().filter(|r| r.path.starts_with("/tenants/{}")) {
         let mut request = |name: &str| {
--- a/crates/admin/tests/changes.rs
+++ b/crates/admin/tests/changes.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn invalid_contents_are_refused_with_the_place() {
+fn invalid_content_is_rejected_with_its_pointer() {
     let mut api = TestApi::new();
     let merge = ("Content-Type", "application/merge-patch+json");
     let cases = [
@@ -179,9 +179,9 @@
     assert_eq!(
         api.request(READER, "GET", "/tenants/a", &[], "").status,
         200,
-        "while it plays out"
+        "readable until its last session has ended"
     );
-    // The last front says that it holds nothing, and the id is free: the history goes on under it.
+    // Once the last director reports no sessions, the id is released. The history continues under the same id.
     let mut report = |held: Value| {
         let response = json!({ "front": 1, "number": 3, "held": held }).to_string();
         assert_eq!(
--- a/crates/admin/tests/openapi.rs
+++ b/crates/admin/tests/openapi.rs
@@ -1,4 +1,4 @@
-//! The published document.
+//! The published OpenAPI document.
 
 use shalewall_admin::openapi::document;
 use shalewall_admin::routes::ROUTES;
@@ -16,9 +16,7 @@
             });
             assert_eq!(
                 operation["operationId"],
-                route
-                    .expect("an operation that the server knows")
-                    .operation_id
+                route.expect("an operation in the table").operation_id
             );
         }
     }
@@ -29,7 +27,7 @@
         .skip(1)
         .map(|r| r.split('"').next().unwrap())
     {
-        // Those within the terms' own schema are relative to it.
+        // References within the schema of terms are relative to that schema.
         let found = document
             .pointer(reference)
             .or_else(|| document["components"]["schemas"]["Terms"].pointer(reference));
@@ -37,9 +35,10 @@
     }
 }
 
-/// The document as it was published on 2026-12-02 (written by the code of commit 7a79dca), but for the program's version.
+/// The published document must not change. The fixture was written on 2026-12-02 by commit 7a79dca; only the program's
+/// version may differ.
 #[test]
-fn the_document_is_byte_for_byte_as_it_was() {
+fn document_matches_the_recorded_fixture() {
     let own_version = format!("\"version\":\"{}\"", env!("CARGO_PKG_VERSION"));
     let text = document()
         .to_string()
--- a/crates/admin/tests/replies.rs
+++ b/crates/admin/tests/replies.rs
@@ -1,11 +1,11 @@
-//! Replies as they go out.
+//! Replies compared byte for byte with a recorded fixture.
 
 mod support;
 
 use serde_json::json;
 use support::{ADMIN, OPERATOR, READER, Response, TestApi, terms};
 
-/// One reply as it goes out: status, fields, content.
+/// Appends a reply to the transcript: status, header fields and content.
 fn transcribe(out: &mut String, method: &str, target: &str, response: &Response) {
     use std::fmt::Write;
     writeln!(out, "{method} {target}\n{}", response.status).unwrap();
@@ -15,9 +15,9 @@
     writeln!(out, "{}\n", response.text).unwrap();
 }
 
-/// Replies to every call, and to what is refused, as the code of commit 7a79dca gave them.
+/// Replies to all operations and to rejected requests must not change. The fixture was written by commit 7a79dca.
 #[test]
-fn replies_are_byte_for_byte_as_they_were() {
+fn replies_match_the_recorded_fixture() {
     let merge = ("Content-Type", "application/merge-patch+json");
     let any = ("If-Match", "*");
     let key = ("Idempotency-Key", "k1");
--- a/crates/admin/tests/support/mod.rs
+++ b/crates/admin/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An API without sockets, and requests to it.
+//! An API without sockets, and helpers that send requests to it.
 
-#![allow(dead_code)] // no test file needs all of it
+#![allow(dead_code)] // no test file uses all of it
 
 use serde_json::{Value, json};
 use shalewall_admin::api::{Api, TokenSeed};
@@ -13,7 +13,7 @@
 use shalewall_tenancy::tenant::TenantId;
 use shalewall_tenancy::token::{IssuedToken, Token};
 
-/// An API on a store of its own, and its callers' tokens.
+/// An API with its own store, and the callers' tokens.
 pub struct TestApi {
     pub api: Api,
     pub tokens: Vec<String>,
@@ -21,7 +21,7 @@
     _dir: tempfile::TempDir,
 }
 
-/// Places of the callers' tokens.
+/// Indices of the callers' tokens in [`TestApi::tokens`].
 pub const OPERATOR: usize = 0;
 pub const ADMIN: usize = 1;
 pub const READER: usize = 2;
@@ -53,7 +53,7 @@
 }
 
 impl TestApi {
-    /// Tenants a and b; an operator, and an administrator and a reader of a.
+    /// Creates tenants a and b, and tokens of an operator and of an administrator and a reader of tenant a.
     pub fn new() -> TestApi {
         let dir = tempfile::tempdir().unwrap();
         let store = Store::open(&dir.path().join("t.redb")).unwrap();
@@ -125,7 +125,7 @@
             content,
         } = self.api.answer(&request, self.now, seed);
         let Content::Complete(bytes) = content else {
-            panic!("a whole answer")
+            panic!("the answer is a stream")
         };
         let text = String::from_utf8(bytes).unwrap();
         Response {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// A valid call of an operation on a tenant, at the revision that it is at.
+    /// Sends a valid request for an operation on a tenant, with the tenant's current revision.
     pub fn call(&mut self, caller: usize, operation: Operation, tenant: &str) -> Response {
         let route = ROUTES.iter().find(|r| r.operation == operation).unwrap();
         let target = route.path.replace("{}", tenant);
--- a/crates/cli/src/commands/admin.rs
+++ b/crates/cli/src/commands/admin.rs
@@ -12,16 +12,16 @@
 
 /// Serves the API until the process is killed.
 pub fn serve(config: &Path, check: bool) -> Result<(), CliError> {
-    let plan: AdminConfig = read_settings(config)?;
+    let config: AdminConfig = read_settings(config)?;
     if check {
         return Ok(());
     }
     start_logs();
-    let store = Store::open(&plan.admin.store)?;
+    let store = Store::open(&config.admin.store)?;
     let executor = Rc::new(LocalExecutor::new());
-    let forget_director_ms = (plan.admin.forget_front_s * 1000.0) as u64;
-    let api = Rc::new(Api::new(store, unix_time_millis(), forget_director_ms));
-    let address = start_server(&executor, plan.admin.listen, api)?;
+    let director_expiry_ms = (config.admin.forget_front_s * 1000.0) as u64;
+    let api = Rc::new(Api::new(store, unix_time_millis(), director_expiry_ms));
+    let address = start_server(&executor, config.admin.listen, api)?;
     tracing::info!(address = %address, what = "administration", "listening");
     async_io::block_on(executor.run(futures_lite::future::pending::<()>()));
     Ok(())
--- a/crates/cli/src/commands/days.rs
+++ b/crates/cli/src/commands/days.rs
@@ -29,7 +29,7 @@
 
 /// Converts a day file of the bench to a script and prints it. Lists settings without a counterpart on standard error.
 pub fn import(file: &Path) -> Result<(), CliError> {
-    let text = std::fs::read_to_string(file).map_err(CliError::of_file(file))?;
+    let text = std::fs::read_to_string(file).map_err(CliError::file_error(file))?;
     let imported = scripted_days::import(&text).map_err(|error| CliError::Import {
         file: file.to_path_buf(),
         error,
--- a/crates/cli/src/commands/service.rs
+++ b/crates/cli/src/commands/service.rs
@@ -15,13 +15,13 @@
     if with_parent {
         set_parent_process_death_signal(Some(Signal::KILL)).map_err(io::Error::from)?;
     }
-    let plan: ServerConfig = read_settings(config)?;
+    let config: ServerConfig = read_settings(config)?;
     if check {
         return Ok(());
     }
     start_logs();
     let executor = Rc::new(LocalExecutor::new());
-    let server = Server::start(&executor, &plan)?;
+    let server = Server::start(&executor, &config)?;
     async_io::block_on(executor.run(server.run_until_signal()))?;
     Ok(())
 }
--- a/crates/cli/src/commands/tenant.rs
+++ b/crates/cli/src/commands/tenant.rs
@@ -16,9 +16,9 @@
 
 /// Executes one command and prints the API's answer.
 pub fn run(access: &ApiAccess, command: TenantCommand) -> Result<(), CliError> {
-    let request = ApiRequest::of(command)?;
+    let request = ApiRequest::from_command(command)?;
     let file = &access.token_file;
-    let token = std::fs::read_to_string(file).map_err(CliError::of_file(file))?;
+    let token = std::fs::read_to_string(file).map_err(CliError::file_error(file))?;
     let answer = request.send(access, token.trim())?;
     let body = String::from_utf8_lossy(&answer.body).into_owned();
     let status = answer.head.status;
@@ -46,11 +46,11 @@
 
 impl ApiRequest {
     /// Creates the call of a command. Content is read from standard input.
-    fn of(command: TenantCommand) -> Result<ApiRequest, CliError> {
+    fn from_command(command: TenantCommand) -> Result<ApiRequest, CliError> {
         Ok(match command {
             TenantCommand::List => ApiRequest::new("GET", "/tenants".to_string()),
-            TenantCommand::Show { id } => ApiRequest::new("GET", path(&id, "")),
-            TenantCommand::History { id } => ApiRequest::new("GET", path(&id, "/history")),
+            TenantCommand::Show { id } => ApiRequest::new("GET", tenant_path(&id, "")),
+            TenantCommand::History { id } => ApiRequest::new("GET", tenant_path(&id, "/history")),
             TenantCommand::Create { id } => {
                 let terms: Value = serde_json::from_str(&read_input()?)?;
                 let content = Content {
@@ -64,17 +64,17 @@
                     media_type: "application/merge-patch+json",
                     text: read_input()?,
                 };
-                let request = ApiRequest::new("PATCH", path(&id, ""));
+                let request = ApiRequest::new("PATCH", tenant_path(&id, ""));
                 request.at_revision(at).with_content(content)
             }
             TenantCommand::Suspend { id, at } => {
-                ApiRequest::new("POST", path(&id, "/suspend")).at_revision(at)
+                ApiRequest::new("POST", tenant_path(&id, "/suspend")).at_revision(at)
             }
             TenantCommand::Resume { id, at } => {
-                ApiRequest::new("POST", path(&id, "/resume")).at_revision(at)
+                ApiRequest::new("POST", tenant_path(&id, "/resume")).at_revision(at)
             }
             TenantCommand::Delete { id, at } => {
-                ApiRequest::new("DELETE", path(&id, "")).at_revision(at)
+                ApiRequest::new("DELETE", tenant_path(&id, "")).at_revision(at)
             }
         })
     }
@@ -123,7 +123,7 @@
     }
 }
 
-fn path(id: &str, rest: &str) -> String {
+fn tenant_path(id: &str, rest: &str) -> String {
     format!("/tenants/{id}{rest}")
 }
 
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns a function that converts an I/O error of a file.
-    pub fn of_file(file: &Path) -> impl FnOnce(io::Error) -> CliError {
+    pub fn file_error(file: &Path) -> impl FnOnce(io::Error) -> CliError {
         let file = file.to_path_buf();
         move |error| CliError::File { file, error }
     }
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, and errors that a person can act on.
+//! The command line: exit codes and error messages.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -21,20 +21,20 @@
 }
 
 #[test]
-fn every_day_that_is_shipped_passes_its_check() {
+fn all_shipped_days_pass_the_check() {
     let mut count = 0;
     for day in std::fs::read_dir(days()).unwrap() {
         let path = day.unwrap().path();
         if path.file_name().is_some_and(|name| name == "house.hcl") {
-            continue; // a part of days, not one
+            continue; // included by days, not a day itself
         }
-        let out = shalewall(&["day", "run", path.to_str().unwrap(), "--check"]);
+        let output = shalewall(&["day", "run", path.to_str().unwrap(), "--check"]);
         assert_eq!(
-            out.status.code(),
+            output.status.code(),
             Some(0),
             "{}: {}",
             path.display(),
-            String::from_utf8_lossy(&out.stderr)
+            String::from_utf8_lossy(&output.stderr)
         );
         count += 1;
     }
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn bad_settings_exit_2_and_name_file_line_and_path() {
+fn invalid_settings_exit_with_2_and_name_file_line_and_path() {
     let dir = tempfile::tempdir().unwrap();
     let text = std::fs::read_to_string(days().join("bad-day.hcl")).unwrap();
     let file = write(
@@ -59,28 +59,28 @@
         vec!["day", "run", &file, "--check"],
         vec!["nodes", "--config", &file, "--check"],
     ] {
-        let out = shalewall(&args);
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert_eq!(out.status.code(), Some(2), "{said}");
+        let output = shalewall(&args);
+        let errors = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{errors}");
         assert!(
-            said.contains(&format!("{file}:{line}: site.rules.start_capacity: ")),
-            "{said}"
+            errors.contains(&format!("{file}:{line}: site.rules.start_capacity: ")),
+            "{errors}"
         );
     }
     let none = dir.path().join("none.hcl");
-    let out = shalewall(&["serve", "--config", none.to_str().unwrap()]);
-    assert_eq!(out.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&out.stderr).contains("none.hcl"));
+    let output = shalewall(&["serve", "--config", none.to_str().unwrap()]);
+    assert_eq!(output.status.code(), Some(2));
+    assert!(String::from_utf8_lossy(&output.stderr).contains("none.hcl"));
 }
 
 #[test]
-fn an_audit_exits_by_what_it_finds() {
+fn exit_code_of_an_audit_depends_on_its_findings() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().to_str().unwrap();
     assert_eq!(
         shalewall(&["audit", path]).status.code(),
         Some(2),
-        "no rules to judge by"
+        "no rules.json"
     );
     let rules = r#"{"classes":{"once":{"paid":true,"floor":0,"seats":0}},"drain_within":250000,"answer_slack":50000,
         "warm_after":0,"start_capacity":1,"overload_factor":2,"fall":1,"further":null,"transit":1000}"#;
@@ -94,19 +94,19 @@
     write(dir.path(), "a.jsonl", &set_up(1, 0));
     assert_eq!(shalewall(&["audit", path]).status.code(), Some(0));
     write(dir.path(), "b.jsonl", &set_up(2, 1));
-    let out = shalewall(&["audit", path]);
-    assert_eq!(out.status.code(), Some(1));
-    let said = String::from_utf8(out.stdout).unwrap();
+    let output = shalewall(&["audit", path]);
+    assert_eq!(output.status.code(), Some(1));
+    let text = String::from_utf8(output.stdout).unwrap();
     assert!(
-        said.contains("no set-up twice") && said.contains("BROKEN"),
-        "{said}"
+        text.contains("no set-up twice") && text.contains("BROKEN"),
+        "{text}"
     );
     write(dir.path(), "c.jsonl", "{\"what\":\"nothing known\"}\n");
     assert_eq!(shalewall(&["audit", path]).status.code(), Some(2));
 }
 
 #[test]
-fn stand_ins_alone_name_their_addresses() {
+fn emulated_nodes_and_list_log_their_addresses() {
     use std::io::{BufRead, BufReader};
     let file = days().join("bad-day.hcl");
     let mut child = Command::new(env!("CARGO_BIN_EXE_shalewall"))
@@ -117,28 +117,29 @@
     let lines = BufReader::new(child.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    // The list and fifteen nodes.
-    let told: Vec<String> = lines
+    // The endpoint list and fifteen nodes.
+    let log_lines: Vec<String> = lines
         .filter(|l| l.contains("\"listening\""))
         .take(16)
         .collect();
     child.kill().unwrap();
     child.wait().unwrap();
     let address = |l: &String| {
-        let said: serde_json::Value = serde_json::from_str(l).unwrap();
-        said["fields"]["address"]
+        let entry: serde_json::Value = serde_json::from_str(l).unwrap();
+        entry["fields"]["address"]
             .as_str()
             .unwrap()
             .parse::<std::net::SocketAddr>()
             .unwrap()
     };
-    let ports: std::collections::BTreeSet<u16> = told.iter().map(|l| address(l).port()).collect();
+    let ports: std::collections::BTreeSet<u16> =
+        log_lines.iter().map(|l| address(l).port()).collect();
     assert_eq!(ports.len(), 16);
 }
 
-/// A rig without the descriptors that a day needs is told so before the day begins, not by wrong figures after it.
+/// A machine without enough file descriptors is reported before the day starts, not by wrong results after it.
 #[test]
-fn a_day_that_the_machine_can_not_run_is_refused() {
+fn day_without_enough_descriptors_is_rejected() {
     let day = days().join("short-bad-day.hcl");
     let dir = tempfile::tempdir().unwrap();
     let run = format!(
@@ -147,14 +148,14 @@
         day.display(),
         dir.path().display()
     );
-    let out = std::process::Command::new("sh")
+    let output = std::process::Command::new("sh")
         .args(["-c", &run])
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert_eq!(out.status.code(), Some(2), "{said}");
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{errors}");
     assert!(
-        said.contains("descriptors") && said.contains("150"),
-        "{said}"
+        errors.contains("descriptors") && errors.contains("150"),
+        "{errors}"
     );
 }
--- a/crates/store/examples/write_fixture.rs
+++ b/crates/store/examples/write_fixture.rs
@@ -4,9 +4,9 @@
 //! cargo run -p shalewall-store --example write_fixture -- DIRECTORY VERSION
 //! ```
 //!
-//! writes `DIRECTORY/version-VERSION.redb` and `DIRECTORY/version-VERSION.jsonl`, and refuses to replace a file.
-//! Committed fixtures are never written again: run it once for each new version of the format, with the last
-//! code that writes the version before.
+//! writes `DIRECTORY/version-VERSION.redb` and `DIRECTORY/version-VERSION.jsonl`, and does not overwrite a file.
+//! Committed fixtures are never written again: run it once for each new format version, with the last code that
+//! writes the previous version.
 
 use redb::Database;
 use serde_json::json;
@@ -36,7 +36,7 @@
     })
 }
 
-/// Every kind of change, each at its own time, a second after the one before.
+/// Writes every kind of change, each one second after the previous one.
 fn write_tenants(store: &Store) {
     let create = |name: &str| Change::Create(terms(name));
     let changes = [
@@ -99,7 +99,7 @@
     }
 }
 
-/// A token of each role, with known secrets, and one that is revoked.
+/// Writes a token of each role with known secrets, and a revoked one.
 fn write_tokens(store: &Store) {
     let roles = [
         Role::Operator,
@@ -114,7 +114,7 @@
         store.put_token(&issued.token).expect("the token is stored");
     }
     let revoked = store.revoke_token("0505050505050505", 1_700_000_000_100);
-    assert!(revoked.expect("the token is revoked"), "it was there");
+    assert!(revoked.expect("the token is revoked"), "the token exists");
 }
 
 fn main() {
@@ -124,7 +124,7 @@
     };
     let path = |extension: &str| -> PathBuf {
         let path = Path::new(&directory).join(format!("version-{version}.{extension}"));
-        assert!(!path.exists(), "{} is there already", path.display());
+        assert!(!path.exists(), "{} exists already", path.display());
         path
     };
     let (file, export) = (path("redb"), path("jsonl"));
--- a/crates/store/src/change.rs
+++ b/crates/store/src/change.rs
@@ -58,7 +58,7 @@
         let AppliedChange { tenant, entry } = applied;
         let number = write_change(&transaction, &tenant, &entry)?;
         if let Some(key) = key {
-            remember_key(&transaction, key, &tenant, number)?;
+            store_key(&transaction, key, &tenant, number)?;
         }
         transaction.commit()?;
         Ok(ChangeOutcome {
@@ -104,7 +104,7 @@
 }
 
 /// Stores the change that a key was used for.
-fn remember_key(
+fn store_key(
     transaction: &WriteTransaction,
     key: IdempotencyKey<'_>,
     tenant: &Tenant,
@@ -118,11 +118,11 @@
     };
     let mut keys = transaction.open_table(KEYS)?;
     keys.insert(key.key, encode(&record)?.as_slice())?;
-    forget_old_keys(&mut keys, change_number)
+    remove_expired_keys(&mut keys, change_number)
 }
 
 /// Removes expired keys once the table has twice the retained number, so that the cost is amortized.
-fn forget_old_keys(
+fn remove_expired_keys(
     keys: &mut Table<'_, &'static str, &'static [u8]>,
     change_number: u64,
 ) -> Result<(), StoreError> {
--- a/crates/store/src/upgrade.rs
+++ b/crates/store/src/upgrade.rs
@@ -6,7 +6,7 @@
 use shalewall_tenancy::history::HistoryEntry;
 
 /// The format without an order of changes across tenants.
-const WITHOUT_CHANGE_NUMBERS: u64 = 1;
+const FORMAT_WITHOUT_CHANGE_NUMBERS: u64 = 1;
 
 /// Upgrades a file to [`FORMAT_VERSION`] in one transaction, and creates the tables of a new file. Returns an error for
 /// a file of a later format and leaves it unchanged.
@@ -22,7 +22,7 @@
     for table in [TENANTS, KEYS, TOKENS] {
         transaction.open_table(table)?;
     }
-    if found == Some(WITHOUT_CHANGE_NUMBERS) {
+    if found == Some(FORMAT_WITHOUT_CHANGE_NUMBERS) {
         number_changes(&transaction)?;
     }
     transaction.open_table(HISTORY)?;
--- a/crates/store/tests/changes.rs
+++ b/crates/store/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys, pages, and the order of changes.
+//! Idempotency keys, paging and the order of changes.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::{change, context, create, id, open, terms};
 
 #[test]
-fn an_idempotency_key_creates_one_tenant_and_refuses_another_request() {
+fn idempotency_key_creates_one_tenant_and_rejects_a_different_request() {
     let directory = tempfile::tempdir().unwrap();
     let store = open(directory.path(), "t.redb");
     let create = Change::Create(terms("a"));
@@ -52,7 +52,7 @@
     assert_eq!(
         (changed.last_change_number, changed.tenants.len()),
         (12, 2),
-        "t9, and t2 once as it is now"
+        "t9, and t2 once in its current state"
     );
     let changed = store.changed_since(12).unwrap();
     assert_eq!((changed.last_change_number, changed.tenants), (12, vec![]));
--- a/crates/store/tests/concurrency.rs
+++ b/crates/store/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! Administrators that change one tenant at the same time.
+//! Concurrent changes of one tenant by several administrators.
 
 mod support;
 
@@ -11,7 +11,7 @@
 const ADMINISTRATORS: usize = 16;
 const CHANGES_EACH: usize = 63;
 
-/// Reads the tenant, changes what was read, and reads again where another change came first.
+/// Changes the tenant with the revision that was read, and retries with a new read if another change came first.
 fn change_until_accepted(store: &Store, administrator: usize) -> usize {
     let mut accepted = 0;
     while accepted < CHANGES_EACH {
@@ -47,7 +47,7 @@
     assert_eq!(
         history.len(),
         1 + accepted,
-        "every accepted change is there, and no other"
+        "the history has exactly the accepted changes"
     );
     assert_eq!(replay(&history), store.tenant(&id("a")).unwrap());
     let mut names: Vec<_> = history
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,4 +1,4 @@
-//! A process that is killed while it writes.
+//! Consistency of the store after its process is killed during writes.
 
 mod support;
 
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use support::{context, id, terms};
 
-/// The environment variable that makes [`write_until_killed`] write, and names its store.
+/// Environment variable that enables [`write_until_killed`] and gives the path of its store.
 const STORE_VARIABLE: &str = "CRASH_TEST_STORE";
-/// Begins a line of the child's output, before the number of a committed change.
+/// Prefix of a line of the child's output, before the number of a committed change.
 const COMMITTED: &str = "committed ";
 
-/// The child of the test below: changes tenants until it is killed, and prints each change's number.
+/// The child process of the test below: changes tenants until it is killed, and prints each committed change's number.
 #[test]
 fn write_until_killed() {
     let Ok(path) = std::env::var(STORE_VARIABLE) else {
@@ -39,13 +39,13 @@
     }
 }
 
-/// Numbers on the lines of a child that tell of a change.
+/// The change number in a line of the child's output, if it has one.
 fn committed_number(line: &str) -> Option<&str> {
     line.contains(COMMITTED).then_some(line)?.rsplit(' ').next()
 }
 
-/// Runs a writer and kills it after a few changes, at a point within the next that differs from kill to kill.
-/// Returns the last number that it printed; `before`: the last one of the writer before.
+/// Runs a writer and kills it during a change, at a point that differs with `kill`. Returns the last number that it
+/// printed, or `before` (the last number of the previous writer) if it printed none.
 fn last_printed_by_killed_writer(path: &Path, kill: u64, before: u64) -> u64 {
     let mut child = Command::new(std::env::current_exe().unwrap())
         .args(["--exact", "write_until_killed", "--nocapture"])
@@ -61,14 +61,17 @@
             .by_ref()
             .map(Result::unwrap)
             .find_map(|line| committed_number(&line).map(str::to_string));
-        last = number.expect("it writes").parse().unwrap();
+        last = number
+            .expect("the child prints a change number")
+            .parse()
+            .unwrap();
     }
     std::thread::sleep(Duration::from_micros(kill * 37 % 3000));
     child.kill().unwrap();
     child.wait().unwrap();
     for line in output.map_while(Result::ok) {
         let number = committed_number(&line).and_then(|number| number.parse().ok());
-        last = number.unwrap_or(last); // the last line may be cut short
+        last = number.unwrap_or(last); // the last line may be incomplete
     }
     last
 }
@@ -84,13 +87,16 @@
         store
             .check()
             .unwrap_or_else(|error| panic!("after kill {kill}: {error}"));
-        // Every change that was printed is there; at most the one under way came on top.
+        // All printed changes are stored, and at most the one that was in progress in addition.
         let last = store.last_change_number().unwrap();
         assert!(
             last == committed || last == committed + 1,
-            "after kill {kill}: {committed} printed, {last} there"
+            "after kill {kill}: {committed} printed, {last} stored"
         );
         committed = last;
     }
-    assert!(committed > 400, "it has to have written: {committed}");
+    assert!(
+        committed > 400,
+        "too few changes for a meaningful test: {committed}"
+    );
 }
--- a/crates/store/tests/export.rs
+++ b/crates/store/tests/export.rs
@@ -1,4 +1,4 @@
-//! Exports, read in again.
+//! Export and import.
 
 mod support;
 
@@ -46,9 +46,9 @@
             other.import(out.as_slice()),
             Err(StoreError::Unavailable(StoreUnavailable::NotEmpty))
         ),
-        "only into an empty one"
+        "only an empty store can be imported into"
     );
-    // A line that is missing in the middle leaves nothing behind.
+    // An import with a missing line fails and changes nothing.
     let text = String::from_utf8(out).unwrap();
     let incomplete: String = text
         .lines()
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_line_that_is_none_is_named() {
+fn invalid_line_is_reported_with_its_number() {
     let directory = tempfile::tempdir().unwrap();
     let store = open(directory.path(), "t.redb");
     let error = store
--- a/crates/store/tests/fixtures.rs
+++ b/crates/store/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Store files that earlier code wrote, read by the code as it is.
+//! Compatibility with store files written by earlier code.
 //!
 //! `fixtures/version-2.redb` and its export `fixtures/version-2.jsonl` were written on 2026-12-02 with
 //!
@@ -6,8 +6,8 @@
 //! cargo run -p shalewall-store --example write_fixture -- crates/store/tests/fixtures 2
 //! ```
 //!
-//! by the code of commit 7a79dca (before the types of this crate were renamed), and have to stay as they are. The
-//! tests work on copies. `examples/write_fixture.rs` refuses to replace a file.
+//! by the code of commit 7a79dca, before the types of this crate were renamed. They must not change. The tests work on
+//! copies, and `examples/write_fixture.rs` does not overwrite a file.
 
 mod support;
 
@@ -23,7 +23,7 @@
 const STORE_FILE: &[u8] = include_bytes!("fixtures/version-2.redb");
 const EXPORT: &str = include_str!("fixtures/version-2.jsonl");
 
-/// A copy of the fixture, opened.
+/// Opens a copy of the fixture.
 fn open_copy(directory: &Path) -> Store {
     let path = directory.join("copy.redb");
     std::fs::write(&path, STORE_FILE).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_file_of_version_2_holds_its_tenants() {
+fn version_2_file_has_its_tenants() {
     let directory = tempfile::tempdir().unwrap();
     let store = open_copy(directory.path());
     assert_eq!((store.format_version().unwrap(), FORMAT_VERSION), (2, 2));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_file_of_version_2_holds_its_histories() {
+fn version_2_file_has_its_histories() {
     let directory = tempfile::tempdir().unwrap();
     let store = open_copy(directory.path());
     let changes = |name: &str| -> Vec<String> {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_file_of_version_2_knows_its_tokens() {
+fn version_2_file_has_its_tokens() {
     let directory = tempfile::tempdir().unwrap();
     let store = open_copy(directory.path());
     let roles = [
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_file_of_version_2_remembers_its_idempotency_keys() {
+fn version_2_file_has_its_idempotency_keys() {
     let directory = tempfile::tempdir().unwrap();
     let store = open_copy(directory.path());
     let context = ChangeContext {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_export_of_a_file_of_version_2_is_byte_for_byte_as_it_was() {
+fn export_of_a_version_2_file_matches_the_fixture() {
     let directory = tempfile::tempdir().unwrap();
     let store = open_copy(directory.path());
     let mut lines = Vec::new();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_export_of_version_2_makes_the_same_store() {
+fn import_of_a_version_2_export_restores_the_same_store() {
     let directory = tempfile::tempdir().unwrap();
     let store = open_copy(directory.path());
     let filled = Store::open(&directory.path().join("filled.redb")).unwrap();
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -1,5 +1,5 @@
-#![allow(dead_code)] // no test file needs all of them
-//! Tenants and changes that the store's tests share.
+#![allow(dead_code)] // no test file uses all of it
+//! Tenants and changes for the store's tests.
 
 use serde_json::json;
 use shalewall_store::Store;
@@ -17,7 +17,7 @@
         "classes": { "report": { "paid": true, "aim_ms": 1000, "give_up_ms": 4000, "worth": 2.0 } } })
 }
 
-/// An operator's change, at one time for all.
+/// The context of an operator's change, with a fixed time.
 pub fn context(revision: Precondition) -> ChangeContext<'static> {
     ChangeContext {
         actor: "test",
@@ -31,7 +31,7 @@
     Store::open(&directory.join(name)).unwrap()
 }
 
-/// Changes a tenant at whatever revision it is.
+/// Changes a tenant at any revision.
 pub fn change(store: &Store, name: &str, change: Change) {
     store
         .change_tenant(&id(name), &change, &context(Precondition::Any), None)
--- a/crates/store/tests/upgrade.rs
+++ b/crates/store/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Files of earlier and later formats, and files that are no store.
+//! Files of earlier and later formats, and files that are not a store.
 
 mod support;
 
@@ -11,7 +11,7 @@
 const META: TableDefinition<'_, &str, u64> = TableDefinition::new("meta");
 const CHANGES: TableDefinition<'_, u64, &str> = TableDefinition::new("changes");
 
-/// Makes a file say that it is of a format; format 1 had no table of changes.
+/// Sets the format version of a file, and removes the table of changes for format 1, which has none.
 fn write_version(path: &Path, version: u64) {
     let database = redb::Database::open(path).unwrap();
     let transaction = database.begin_write().unwrap();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_earlier_format_is_upgraded_and_a_later_one_refused_untouched() {
+fn earlier_format_is_upgraded_and_later_one_is_rejected_unchanged() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("t.redb");
     let store = Store::open(&path).unwrap();
@@ -50,7 +50,7 @@
     assert!(
         matches!(Store::open(&path), Err(StoreError::NewerFormat { found }) if found == FORMAT_VERSION + 1)
     );
-    // The program of that version finds it as it left it.
+    // The rejected file is unchanged: it can be read with its original version.
     write_version(&path, FORMAT_VERSION);
     let store = Store::open(&path).unwrap();
     assert_eq!(
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_store_is_refused_untouched() {
+fn file_that_is_not_a_store_is_rejected_unchanged() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("t.redb");
     std::fs::write(&path, vec![b'x'; 9000]).unwrap();
@@ -71,6 +71,6 @@
     assert_eq!(
         std::fs::read(&path).unwrap(),
         vec![b'x'; 9000],
-        "and left as it is"
+        "the file is unchanged"
     );
 }
