--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Whether a tenant is being deleted and all directors that may be running have applied `change_number` and report no
-    /// session of it.
+    /// Whether a tenant is being deleted and all directors that may be running have applied `change_number` and report
+    /// no session of it.
     fn has_ended(&self, tenant: &Tenant, change_number: u64, now: UnixMillis) -> bool {
         matches!(tenant.state, TenantState::Deleting { .. })
             && self
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -1,19 +1,18 @@
-//! The bad day in short, and the other kinds of trouble, on real sockets and with each director a process of
-//! its own.
+//! Short scripted days with all kinds of faults, on real sockets and with each director as its own process.
 
 use shalewall_audit::Rule;
 use shalewall_scripted_days::{self as day, Summary};
 use shalewall_settings::{DayPlan, read};
 use std::path::Path;
 
-fn holds(day: &str) -> Summary {
+fn run_and_audit(day: &str) -> Summary {
     let file = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../days")).join(day);
     let plan: DayPlan = read(&file).unwrap();
     let out = tempfile::tempdir().unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_shalewall"));
     let summary = day::run(&plan, program, out.path(), |_| {}).unwrap();
     assert!(summary.rules_hold, "{summary}");
-    // A rule that was tested on nothing was not shown to hold.
+    // A rule without enough test cases has not been shown to hold.
     for (rule, least) in [
         ("one answer in time", 100),
         ("no set-up twice", 100),
@@ -25,7 +24,7 @@
         summary.tested["floors and seats kept"] > 0 && summary.all.plays > 80,
         "{summary}"
     );
-    // The recordings say the same when they are judged again.
+    // An audit of the recordings gives the same result.
     let verdict = day::audit(out.path()).unwrap();
     assert!(verdict.holds());
     for (tenant, tested) in &verdict.tenants {
@@ -44,19 +43,19 @@
 
 #[test]
 fn all_six_rules_hold_on_the_short_bad_day() {
-    let summary = holds("short-bad-day.hcl");
+    let summary = run_and_audit("short-bad-day.hcl");
     assert!(summary.all.worth > 0.2, "{summary}");
 }
 
-/// A hosted service under troubles, one tenant at ten times its share: the rules hold for each tenant by itself, and
-/// the quiet one is hardly turned away.
+/// A hosted service with faults and one tenant at ten times its quota: the rules hold for each tenant separately, and few
+/// requests of the other tenant are rejected.
 #[test]
 fn all_six_rules_hold_for_each_tenant_on_the_short_hosted_day() {
-    let summary = holds("short-hosted-day.hcl");
+    let summary = run_and_audit("short-hosted-day.hcl");
     let (quiet, loud) = (&summary.tenants["quiet"], &summary.tenants["loud"]);
     assert!(
         loud.people_refused > 0.5 && loud.asked > 1000,
-        "the loud one has to be loud: {summary}"
+        "tenant loud is not overloaded: {summary}"
     );
     assert!(
         quiet.people_unserved < 0.15 && quiet.worth > 2.0 * loud.worth,
@@ -66,18 +65,18 @@
 
 #[test]
 fn all_six_rules_hold_on_the_short_rough_day() {
-    let summary = holds("short-rough-day.hcl");
+    let summary = run_and_audit("short-rough-day.hcl");
     assert!(summary.all.worth > 0.2, "{summary}");
 }
 
-/// Sessions are handed over on sockets while they play, under all six rules, and hardly a viewer sees it.
+/// Playing sessions are migrated on sockets. All six rules hold, and viewers see almost no gaps.
 #[test]
-fn sessions_are_handed_over_on_the_short_day_of_moves() {
-    let summary = holds("short-moves.hcl");
+fn sessions_migrate_on_the_short_day_of_moves() {
+    let summary = run_and_audit("short-moves.hcl");
     let moves = summary.moves.as_ref().expect("players follow");
     assert!(moves.completed >= 20, "{summary}");
     assert_eq!(moves.served_twice, 0, "{summary}");
-    // Gaps on a machine that keeps players waiting say nothing of the front.
+    // Gaps are not counted if the machine itself delayed the players.
     assert!(
         moves.gap_quantile(0.9).as_micros() <= 200_000 || summary.lag_ms > 100.0,
         "{summary}"
--- a/crates/cli/tests/direct_day.rs
+++ b/crates/cli/tests/direct_day.rs
@@ -1,4 +1,5 @@
-//! Days of several `shalewall direct` processes among stand-ins of the platform, judged from what passed on sockets.
+//! Scripted days of several `shalewall direct` processes in an emulated platform, audited from the recorded socket
+//! traffic.
 
 use shalewall_audit::Rule;
 use shalewall_test_harness::day::{Outcome, Plan, Trouble, play};
@@ -7,15 +8,15 @@
 use shalewall_test_harness::tape::broken;
 use std::path::Path;
 
-fn played(plan: &Plan) -> Outcome {
+fn run_day(plan: &Plan) -> Outcome {
     let dir = tempfile::tempdir().unwrap();
     play(Path::new(env!("CARGO_BIN_EXE_shalewall")), dir.path(), plan)
-        .unwrap_or_else(|e| panic!("the day could not be played: {e}"))
+        .unwrap_or_else(|e| panic!("the day could not be run: {e}"))
 }
 
-/// Nine directors, six nodes, and what a bad quarter of an hour brings, pressed into eleven seconds.
+/// Nine directors and six nodes, with the faults of a bad quarter of an hour within eleven seconds.
 #[test]
-fn a_day_of_troubles_breaks_no_rule() {
+fn day_with_faults_breaks_no_rule() {
     use Trouble::*;
     let troubles = vec![
         (800, Turn(0, Mood::Errors)),
@@ -53,16 +54,16 @@
         lie: None,
         troubles,
     };
-    let day = played(&plan);
+    let day = run_day(&plan);
     let at = |t: i64| (t - day.begun) / 1000;
-    let found: Vec<_> = day
+    let findings: Vec<_> = day
         .verdict
         .findings
         .iter()
         .map(|f| (at(f.time.as_micros()), f.rule, &f.evidence))
         .collect();
     println!(
-        "{} requests\n{}{found:#?}{:#?}",
+        "{} requests\n{}{findings:#?}{:#?}",
         day.asked, day.verdict, day.odd
     );
     assert!(
@@ -90,13 +91,14 @@
     }
 }
 
-/// Wrong directors, each convicted of what it does; `None`: of what is judged beside the six rules.
-fn convicted(lie: Lie, of: Option<Rule>) {
+/// Runs a day with faulty directors and asserts that the audit detects the fault. `broken_rule` is `None` for a fault that
+/// is detected by checks other than the six rules.
+fn assert_detected(lie: Lie, broken_rule: Option<Rule>) {
     use Trouble::*;
-    // A director takes few requests until its nodes are warm for sure, 4 s after its start: too few for these.
+    // These faults need more requests than a director accepts before its nodes have warmed up, 4 s after its start.
     let late = match lie {
         Lie::PushesCold | Lie::Wastes => 3_600,
-        // What is not told counts as told 4 s later.
+        // An event that is not delivered counts as delivered 4 s later.
         Lie::IgnoresSilence => 5_000,
         _ => 0,
     };
@@ -116,7 +118,7 @@
         _ => None,
     };
     let favoured = favoured.map(|n| (late + 1_200, Favour(n)));
-    // Told to end with requests in flight: nodes answer nothing for a while.
+    // Nodes stop answering for a while, so that the shutdown meets requests in flight.
     let ends = lie == Lie::EndsAtOnce;
     let mute = (0..6)
         .filter(|_| ends)
@@ -138,61 +140,65 @@
         lie: Some(lie),
         troubles,
     };
-    let day = played(&plan);
-    let found = broken(&day.verdict);
-    match of {
+    let day = run_day(&plan);
+    let broken_rules = broken(&day.verdict);
+    match broken_rule {
         Some(rule) => assert!(
-            found.contains(&rule),
-            "{lie:?} goes free: {}{:#?}",
+            broken_rules.contains(&rule),
+            "{lie:?} is not detected: {}{:#?}",
             day.verdict,
             day.odd
         ),
-        None => assert!(!day.odd.is_empty(), "{lie:?} goes free: {}", day.verdict),
+        None => assert!(
+            !day.odd.is_empty(),
+            "{lie:?} is not detected: {}",
+            day.verdict
+        ),
     }
 }
 
 #[test]
-fn who_loses_or_repeats_answers_is_convicted() {
-    convicted(Lie::Loses, Some(Rule::OneAnswer));
-    convicted(Lie::Twice, Some(Rule::OneAnswer));
+fn lost_and_repeated_answers_are_detected() {
+    assert_detected(Lie::Loses, Some(Rule::OneAnswer));
+    assert_detected(Lie::Twice, Some(Rule::OneAnswer));
 }
 
 #[test]
-fn who_makes_answers_up_or_keeps_releases_is_convicted() {
-    convicted(Lie::MakesUp, None);
-    convicted(Lie::KeepsReleases, None);
+fn invented_answers_and_unreported_releases_are_detected() {
+    assert_detected(Lie::MakesUp, None);
+    assert_detected(Lie::KeepsReleases, None);
 }
 
 #[test]
-fn who_pays_twice_or_plays_under_the_floor_is_convicted() {
-    convicted(Lie::PaysTwice, Some(Rule::NoDuplicateSetUp));
-    convicted(Lie::UnderFloor, Some(Rule::FloorsAndSeats));
+fn duplicate_set_ups_and_rungs_below_the_floor_are_detected() {
+    assert_detected(Lie::PaysTwice, Some(Rule::NoDuplicateSetUp));
+    assert_detected(Lie::UnderFloor, Some(Rule::FloorsAndSeats));
 }
 
 #[test]
-fn who_ignores_drains_or_pushes_a_cold_node_is_convicted() {
-    convicted(Lie::IgnoresDrains, Some(Rule::Draining));
-    convicted(Lie::PushesCold, Some(Rule::SlowStart));
+fn ignored_draining_and_slow_start_are_detected() {
+    assert_detected(Lie::IgnoresDrains, Some(Rule::Draining));
+    assert_detected(Lie::PushesCold, Some(Rule::SlowStart));
 }
 
 #[test]
-fn who_sends_on_for_viewers_that_left_is_convicted() {
-    convicted(Lie::SendsForLeft, None);
+fn requests_forwarded_for_disconnected_viewers_are_detected() {
+    assert_detected(Lie::SendsForLeft, None);
 }
 
 #[test]
-fn who_ends_at_once_when_told_to_is_convicted() {
-    convicted(Lie::EndsAtOnce, Some(Rule::OneAnswer));
+fn immediate_exit_on_shutdown_is_detected() {
+    assert_detected(Lie::EndsAtOnce, Some(Rule::OneAnswer));
 }
 
 #[test]
-fn who_ignores_a_silent_list_is_convicted() {
-    convicted(Lie::IgnoresSilence, Some(Rule::Draining));
+fn ignored_silence_of_the_list_is_detected() {
+    assert_detected(Lie::IgnoresSilence, Some(Rule::Draining));
 }
 
-/// The two days on which those are convicted, with right directors: what is judged there can be kept.
+/// The conditions of the two tests above with correct directors: all rules can be kept.
 #[test]
-fn a_silent_list_and_an_end_with_requests_in_flight_break_no_rule() {
+fn silent_list_and_shutdown_with_requests_in_flight_break_no_rule() {
     use Trouble::*;
     let mute = (0..6).map(|n| (6_500, Turn(n, Mood::Mute)));
     let troubles = [(500, JournalHush), (700, Drain(1))]
@@ -200,7 +206,7 @@
         .chain(mute)
         .chain([(6_900, Leave(0))])
         .collect();
-    let day = played(&Plan {
+    let day = run_day(&Plan {
         directors: 4,
         nodes: 6,
         seconds: 9,
@@ -218,6 +224,6 @@
 }
 
 #[test]
-fn who_wastes_attempts_is_convicted() {
-    convicted(Lie::Wastes, Some(Rule::RetryBudget));
+fn wasted_attempts_are_detected() {
+    assert_detected(Lie::Wastes, Some(Rule::RetryBudget));
 }
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -267,7 +267,7 @@
     };
     use rustix::io::Errno;
     assert_eq!(of(Errno::CONNREFUSED), ConnectErrorKind::Refused);
-    for own in [
+    for errno in [
         Errno::MFILE,
         Errno::NFILE,
         Errno::ADDRNOTAVAIL,
@@ -275,16 +275,16 @@
         Errno::NOMEM,
         Errno::AGAIN,
     ] {
-        assert_eq!(of(own), ConnectErrorKind::LocalShortage, "{own}");
+        assert_eq!(of(errno), ConnectErrorKind::LocalShortage, "{errno}");
     }
-    for other in [
+    for errno in [
         Errno::NETUNREACH,
         Errno::HOSTUNREACH,
         Errno::TIMEDOUT,
         Errno::CONNRESET,
         Errno::ACCESS,
     ] {
-        assert_eq!(of(other), ConnectErrorKind::Unknown, "{other}");
+        assert_eq!(of(errno), ConnectErrorKind::Unknown, "{errno}");
     }
     assert_eq!(
         ConnectErrorKind::of(&std::io::Error::other("x")),
--- a/crates/server/src/tenants.rs
+++ b/crates/server/src/tenants.rs
@@ -1,7 +1,7 @@
 //! A director's state of the tenants of a hosted service: admission control and open connections.
 //!
-//! `tenant_sync` keeps it up to date, the engine queries it through [`TenantGate`], and `usage_reports` sends it to
-//! the administration API.
+//! `tenant_sync` keeps it up to date, the engine queries it through [`TenantAdmissionControl`], and `usage_reports`
+//! sends it to the administration API.
 
 use shalewall::{TimeDelta, Timestamp};
 use shalewall_engine::{Admission, AdmissionControl};
