--- a/crates/cli/tests/direct_day.rs
+++ b/crates/cli/tests/direct_day.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Runs a day with faulty directors and asserts that the audit detects the fault. `broken_rule` is `None` for a fault that
-/// is detected by checks other than the six rules.
+/// Runs a day with faulty directors and asserts that the audit detects the fault. `broken_rule` is `None` for a fault
+/// that is detected by checks other than the six rules.
 fn assert_detected(lie: Lie, broken_rule: Option<Rule>) {
     use Trouble::*;
     // These faults need more requests than a director accepts before its nodes have warmed up, 4 s after its start.
