--- a/crates/behavior-digest/src/engine.rs
+++ b/crates/behavior-digest/src/engine.rs
@@ -456,7 +456,7 @@
             return;
         };
         let random = &mut self.random;
-        let told = NodeEvent::LoadNotified {
+        let told = NodeEvent::LoadReported {
             session,
             delivered_fraction: random.percent(50).then(|| random.pick(&[1.0, 1.0, 0.8])),
             link_utilization: random.percent(70).then(|| random.share()),
@@ -530,7 +530,7 @@
         let Some(session) = self.draw_playing() else {
             return;
         };
-        self.tell(Input::PlayerFollowing {
+        self.tell(Input::PlayerSubscription {
             session,
             playing_epoch: None,
         });
@@ -709,7 +709,7 @@
     fn plays(&mut self, session: SessionId) {
         self.playing.insert(session, Epoch(0));
         if self.variant.moves && self.random.percent(85) {
-            let input = Input::PlayerFollowing {
+            let input = Input::PlayerSubscription {
                 session,
                 playing_epoch: Some(Epoch(0)),
             };
@@ -757,7 +757,7 @@
         for count in [
             held.waiting,
             held.playing,
-            held.leaving,
+            held.ending,
             held.unconfirmed_ends,
             held.migrating,
         ] {
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -13,21 +13,21 @@
     let summary = day::run(&plan, program, out.path(), |_| {}).unwrap();
     assert!(summary.rules_hold, "{summary}");
     // A rule without enough test cases has not been shown to hold.
-    for (rule, least) in [
+    for (rule, min_checks) in [
         ("one answer in time", 100),
         ("no set-up twice", 100),
         ("drains kept", 100),
     ] {
-        assert!(summary.tested[rule] >= least, "{rule}: {summary}");
+        assert!(summary.checks[rule] >= min_checks, "{rule}: {summary}");
     }
     assert!(
-        summary.tested["floors and seats kept"] > 0 && summary.all.plays > 80,
+        summary.checks["floors and seats kept"] > 0 && summary.all.played > 80,
         "{summary}"
     );
     // An audit of the recordings gives the same result.
     let verdict = day::audit(out.path()).unwrap();
     assert!(verdict.holds());
-    for (tenant, tested) in &verdict.tenants {
+    for (tenant, checks) in &verdict.tenants {
         for rule in [
             Rule::OneAnswer,
             Rule::NoDuplicateSetUp,
@@ -35,7 +35,7 @@
             Rule::FloorsAndSeats,
         ] {
             let name = rule.name();
-            assert!(tested[&rule].tests > 10, "{tenant}: {name}: {summary}");
+            assert!(checks[&rule].checks > 10, "{tenant}: {name}: {summary}");
         }
     }
     summary
@@ -54,11 +54,11 @@
     let summary = run_and_audit("short-hosted-day.hcl");
     let (quiet, loud) = (&summary.tenants["quiet"], &summary.tenants["loud"]);
     assert!(
-        loud.people_refused > 0.5 && loud.asked > 1000,
+        loud.viewers_rejected_fraction > 0.5 && loud.requested > 1000,
         "tenant loud is not overloaded: {summary}"
     );
     assert!(
-        quiet.people_unserved < 0.15 && quiet.worth > 2.0 * loud.worth,
+        quiet.viewers_unserved_fraction < 0.15 && quiet.worth > 2.0 * loud.worth,
         "{summary}"
     );
 }
@@ -73,12 +73,12 @@
 #[test]
 fn sessions_migrate_on_the_short_day_of_moves() {
     let summary = run_and_audit("short-moves.hcl");
-    let moves = summary.moves.as_ref().expect("players follow");
-    assert!(moves.completed >= 20, "{summary}");
-    assert_eq!(moves.served_twice, 0, "{summary}");
+    let migrations = summary.migrations.as_ref().expect("players follow");
+    assert!(migrations.completed >= 20, "{summary}");
+    assert_eq!(migrations.served_twice, 0, "{summary}");
     // Gaps are not counted if the machine itself delayed the players.
     assert!(
-        moves.gap_quantile(0.9).as_micros() <= 200_000 || summary.lag_ms > 100.0,
+        migrations.gap_quantile(0.9).as_micros() <= 200_000 || summary.lag_ms > 100.0,
         "{summary}"
     );
 }
--- a/crates/server/src/node/events.rs
+++ b/crates/server/src/node/events.rs
@@ -179,7 +179,7 @@
             attempt: number("attempt")?,
             epoch: Epoch(number("epoch")?),
         },
-        "figures" => NodeEvent::LoadNotified {
+        "figures" => NodeEvent::LoadReported {
             session,
             delivered_fraction: fraction("delivered"),
             link_utilization: fraction("link"),
--- a/crates/server/tests/player_events.rs
+++ b/crates/server/tests/player_events.rs
@@ -19,7 +19,7 @@
         let file = dir.path().join("move.key");
         std::fs::write(&file, "5a".repeat(32)).unwrap();
         let text = "moves {}";
-        let blocks: std::collections::BTreeMap<String, shalewall_settings::Moves> =
+        let blocks: std::collections::BTreeMap<String, shalewall_settings::MigrationSettings> =
             hcl::from_str(text).unwrap();
         config.site.moves = blocks.into_values().next();
         config.front.ticket_key_file = Some(file);
@@ -119,7 +119,7 @@
     let dir = tempfile::tempdir().unwrap();
     let node = Node::start(&[]);
     let mut config = server_config(&[&node]);
-    let blocks: std::collections::BTreeMap<String, shalewall_settings::Moves> =
+    let blocks: std::collections::BTreeMap<String, shalewall_settings::MigrationSettings> =
         hcl::from_str("moves {}").unwrap();
     config.site.moves = blocks.into_values().next();
     for text in [None, Some(""), Some("5a5a"), Some("not hexadecimal")] {
