--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -13,7 +13,7 @@
 /// Maximum size of an idempotency key.
 pub(crate) const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 /// The media type of a merge patch (RFC 7396).
-const MERGE_PATCH: &str = "application/merge-patch+json";
+const MERGE_PATCH_MEDIA_TYPE: &str = "application/merge-patch+json";
 
 /// The bearer token, or an empty string if there is none.
 pub(crate) fn bearer_token(request: &Request) -> &str {
@@ -94,7 +94,7 @@
 /// Parses the content as a merge patch.
 pub(crate) fn merge_patch(request: &Request) -> Result<Value, ApiError> {
     let media_type = request.head.fields.get("content-type").unwrap_or_default();
-    if !media_type.starts_with(MERGE_PATCH) {
+    if !media_type.starts_with(MERGE_PATCH_MEDIA_TYPE) {
         return Err(ApiError::UnsupportedMediaType);
     }
     json(request)
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -90,7 +90,7 @@
 /// failure.
 pub const COMMON_STATUSES: [u16; 6] = [401, 403, 404, 405, 429, 503];
 
-const TENANT: &str = "/tenants/{}";
+const TENANT_PATH: &str = "/tenants/{}";
 
 /// All operations. Those that change a tenant require `If-Match`: status 428 without it, 412 if the revision is stale.
 pub const ROUTES: [Route; 18] = [
@@ -134,7 +134,7 @@
         operation: Operation::Tenant(TenantOperation::Read),
         operation_id: "Read",
         method: "GET",
-        path: TENANT,
+        path: TENANT_PATH,
         permission: Permission::ReadTenant,
         statuses: &[200],
         summary: "A tenant",
@@ -143,7 +143,7 @@
         operation: Operation::Tenant(TenantOperation::Replace),
         operation_id: "Replace",
         method: "PUT",
-        path: TENANT,
+        path: TENANT_PATH,
         permission: Permission::EditTenant,
         statuses: &[200, 400, 409, 412, 422, 428],
         summary: "Replace its terms",
@@ -152,7 +152,7 @@
         operation: Operation::Tenant(TenantOperation::Patch),
         operation_id: "Patch",
         method: "PATCH",
-        path: TENANT,
+        path: TENANT_PATH,
         permission: Permission::EditTenant,
         statuses: &[200, 400, 409, 412, 415, 422, 428],
         summary: "Merge into its terms",
@@ -161,7 +161,7 @@
         operation: Operation::Tenant(TenantOperation::Delete),
         operation_id: "Delete",
         method: "DELETE",
-        path: TENANT,
+        path: TENANT_PATH,
         permission: Permission::EditAgreement,
         statuses: &[202, 412, 428],
         summary: "Delete it: nothing new, what plays ends",
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -14,9 +14,9 @@
 use std::process::ExitCode;
 
 /// Exit code if a rule of a day is broken.
-const RULE_BROKEN: u8 = 1;
+const EXIT_RULE_BROKEN: u8 = 1;
 /// Exit code for invalid input and other failures.
-const FAILED: u8 = 2;
+const EXIT_FAILURE: u8 = 2;
 
 /// The result of a command that completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,12 +51,12 @@
 fn main() -> ExitCode {
     match run(Cli::parse().command) {
         Ok(Outcome::Done) => ExitCode::SUCCESS,
-        Ok(Outcome::RuleBroken) => ExitCode::from(RULE_BROKEN),
+        Ok(Outcome::RuleBroken) => ExitCode::from(EXIT_RULE_BROKEN),
         Err(error) => {
             for line in error.lines() {
                 eprintln!("shalewall: {line}");
             }
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/cli/tests/hosting.rs
+++ b/crates/cli/tests/hosting.rs
@@ -383,7 +383,8 @@
         0,
         "evicted for the tenant's next connection"
     );
-    // Connections without a tenant may use a quarter of the director's connections; the oldest one is evicted first.
+    // Connections without a tenant may use a quarter of the director's connections; the one idle for longest is evicted
+    // first.
     let mut silent: Vec<_> = (0..30)
         .map(|_| TcpStream::connect(director).unwrap())
         .collect();
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -127,9 +127,9 @@
 }
 
 /// Runs a future with a timeout. Returns `None` if it does not complete in time.
-pub async fn with_timeout<T>(within: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
-        Timer::after(within).await;
+        Timer::after(timeout).await;
         None
     })
     .await
@@ -215,7 +215,7 @@
         let mut parser = HeadParser::default();
         loop {
             match parser.parse_response(&self.buf, &self.limits, call.method == "HEAD") {
-                Err(bad) => return Err(maybe_executed(format!("malformed response: {bad}"))),
+                Err(error) => return Err(maybe_executed(format!("malformed response: {error}"))),
                 Ok(Some((head, used))) => {
                     self.buf.drain(..used);
                     if head.status >= 200 {
@@ -338,7 +338,7 @@
 /// Server-sent events from a response body.
 pub struct EventStream<S> {
     body: BodyStream<S>,
-    reader: sse::Decoder,
+    decoder: sse::Decoder,
     ready: Vec<sse::Event>,
 }
 
@@ -347,16 +347,16 @@
     pub fn new(body: BodyStream<S>, max_event_bytes: usize) -> EventStream<S> {
         EventStream {
             body,
-            reader: sse::Decoder::new(max_event_bytes),
+            decoder: sse::Decoder::new(max_event_bytes),
             ready: Vec::new(),
         }
     }
 
-    /// The next events in order. Returns `None` if the stream has ended or broke, or if no byte arrived for the
-    /// duration `silence`. A keep-alive returns an empty list.
-    pub async fn next(&mut self, silence: Duration) -> Option<Vec<sse::Event>> {
-        let bytes = with_timeout(silence, self.body.next()).await??;
-        self.reader.feed(&bytes, &mut self.ready).ok()?;
+    /// The next events in order. Returns `None` if the stream has ended or broke, or if no byte arrived for
+    /// `idle_timeout`. A keep-alive returns an empty list.
+    pub async fn next(&mut self, idle_timeout: Duration) -> Option<Vec<sse::Event>> {
+        let bytes = with_timeout(idle_timeout, self.body.next()).await??;
+        self.decoder.feed(&bytes, &mut self.ready).ok()?;
         Some(std::mem::take(&mut self.ready))
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -81,7 +81,7 @@
 /// How a connection ended.
 #[derive(Debug)]
 pub enum ConnectionEnd {
-    /// Between two requests: the peer closed the connection, or it was idle for too long.
+    /// Between two requests: the last reply closed the connection, the peer did, or it was idle for too long.
     Idle,
     /// In the middle of a request; holds the bytes of the head or content received by then.
     Truncated(Vec<u8>),
@@ -154,14 +154,14 @@
     loop {
         let request = match server.read_request(hooks).await {
             Ok(request) => request,
-            Err(ConnectionEnd::Rejected(bad)) => {
-                let reply = Reply::problem(bad.status, bad.detail);
+            Err(ConnectionEnd::Rejected(error)) => {
+                let reply = Reply::problem(error.status, error.detail);
                 if server.write_reply(reply, false).await.is_some() {
                     server.linger().await;
                 }
-                return ConnectionEnd::Rejected(bad);
+                return ConnectionEnd::Rejected(error);
             }
-            Err(ended) => return ended,
+            Err(end) => return end,
         };
         hooks.on_request_complete();
         let keep_alive = request.head.keep_alive;
@@ -300,8 +300,8 @@
         with_timeout(Duration::from_millis(300), drain).await;
     }
 
-    async fn write_all(&mut self, bytes: &[u8], within: Duration) -> Option<()> {
-        with_timeout(within, self.stream.write_all(bytes))
+    async fn write_all(&mut self, bytes: &[u8], timeout: Duration) -> Option<()> {
+        with_timeout(timeout, self.stream.write_all(bytes))
             .await?
             .ok()
     }
@@ -331,14 +331,14 @@
         }
         let mut out = Vec::with_capacity(512);
         write_response(&mut out, status, &header_fields);
-        let within = self.limits.write_timeout;
+        let timeout = self.limits.write_timeout;
         match content {
             Content::Complete(bytes) => {
                 out.extend_from_slice(&bytes);
-                self.write_all(&out, within).await?;
+                self.write_all(&out, timeout).await?;
             }
             Content::Stream(mut pieces) => {
-                self.write_all(&out, within).await?;
+                self.write_all(&out, timeout).await?;
                 loop {
                     let next = self.while_connected(pieces.next()).await?;
                     out.clear();
@@ -346,7 +346,7 @@
                         Some(piece) => write_chunk(&mut out, piece),
                         None => out.extend_from_slice(LAST_CHUNK),
                     }
-                    self.write_all(&out, within).await?;
+                    self.write_all(&out, timeout).await?;
                     if next.is_none() {
                         break;
                     }
