--- a/crates/cli/src/commands/tenant.rs
+++ b/crates/cli/src/commands/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants of a hosted service, over its administration API.
+//! Commands that manage the tenants of a hosted service over its administration API.
 
 use crate::args::{ApiAccess, TenantCommand};
 use crate::error::CliError;
@@ -9,16 +9,16 @@
 use std::io::{Read, stdin};
 use std::time::Duration;
 
-/// What a call may take.
+/// Timeout of a call to the API.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of an answer at most.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Carries out one command, and prints what the API answers.
+/// Executes one command and prints the API's answer.
 pub fn run(access: &ApiAccess, command: TenantCommand) -> Result<(), CliError> {
-    let request = ApiRequest::of(command)?;
+    let request = ApiRequest::from_command(command)?;
     let file = &access.token_file;
-    let token = std::fs::read_to_string(file).map_err(CliError::of_file(file))?;
+    let token = std::fs::read_to_string(file).map_err(CliError::file_error(file))?;
     let answer = request.send(access, token.trim())?;
     let body = String::from_utf8_lossy(&answer.body).into_owned();
     let status = answer.head.status;
@@ -33,7 +33,7 @@
 struct ApiRequest {
     method: &'static str,
     target: String,
-    /// The revision that it is meant for.
+    /// The revision for `If-Match`, if the call changes a tenant.
     revision: Option<u64>,
     content: Option<Content>,
 }
@@ -45,12 +45,12 @@
 }
 
 impl ApiRequest {
-    /// The call of a command; its content is read from standard input.
-    fn of(command: TenantCommand) -> Result<ApiRequest, CliError> {
+    /// Creates the call of a command. Content is read from standard input.
+    fn from_command(command: TenantCommand) -> Result<ApiRequest, CliError> {
         Ok(match command {
             TenantCommand::List => ApiRequest::new("GET", "/tenants".to_string()),
-            TenantCommand::Show { id } => ApiRequest::new("GET", path(&id, "")),
-            TenantCommand::History { id } => ApiRequest::new("GET", path(&id, "/history")),
+            TenantCommand::Show { id } => ApiRequest::new("GET", tenant_path(&id, "")),
+            TenantCommand::History { id } => ApiRequest::new("GET", tenant_path(&id, "/history")),
             TenantCommand::Create { id } => {
                 let terms: Value = serde_json::from_str(&read_input()?)?;
                 let content = Content {
@@ -64,17 +64,17 @@
                     media_type: "application/merge-patch+json",
                     text: read_input()?,
                 };
-                let request = ApiRequest::new("PATCH", path(&id, ""));
+                let request = ApiRequest::new("PATCH", tenant_path(&id, ""));
                 request.at_revision(at).with_content(content)
             }
             TenantCommand::Suspend { id, at } => {
-                ApiRequest::new("POST", path(&id, "/suspend")).at_revision(at)
+                ApiRequest::new("POST", tenant_path(&id, "/suspend")).at_revision(at)
             }
             TenantCommand::Resume { id, at } => {
-                ApiRequest::new("POST", path(&id, "/resume")).at_revision(at)
+                ApiRequest::new("POST", tenant_path(&id, "/resume")).at_revision(at)
             }
             TenantCommand::Delete { id, at } => {
-                ApiRequest::new("DELETE", path(&id, "")).at_revision(at)
+                ApiRequest::new("DELETE", tenant_path(&id, "")).at_revision(at)
             }
         })
     }
@@ -123,7 +123,7 @@
     }
 }
 
-fn path(id: &str, rest: &str) -> String {
+fn tenant_path(id: &str, rest: &str) -> String {
     format!("/tenants/{id}{rest}")
 }
 
--- a/crates/cli/tests/direct_day.rs
+++ b/crates/cli/tests/direct_day.rs
@@ -1,4 +1,5 @@
-//! Days of several `shalewall direct` processes among stand-ins of the platform, judged from what passed on sockets.
+//! Scripted days of several `shalewall direct` processes in an emulated platform, audited from the recorded socket
+//! traffic.
 
 use shalewall_audit::Rule;
 use shalewall_test_harness::day::{DayEvent, Outcome, Plan, play};
@@ -7,15 +8,15 @@
 use shalewall_test_harness::recorder::broken_rules;
 use std::path::Path;
 
-fn played(plan: &Plan) -> Outcome {
+fn run_day(plan: &Plan) -> Outcome {
     let dir = tempfile::tempdir().unwrap();
     play(Path::new(env!("CARGO_BIN_EXE_shalewall")), dir.path(), plan)
-        .unwrap_or_else(|e| panic!("the day could not be played: {e}"))
+        .unwrap_or_else(|e| panic!("the day could not be run: {e}"))
 }
 
-/// Nine directors, six nodes, and what a bad quarter of an hour brings, pressed into eleven seconds.
+/// Nine directors and six nodes, with the faults of a bad quarter of an hour within eleven seconds.
 #[test]
-fn a_day_of_troubles_breaks_no_rule() {
+fn day_with_faults_breaks_no_rule() {
     use DayEvent::*;
     let events = vec![
         (800, SetNodeBehavior(0, NodeBehavior::FailsSetUps)),
@@ -53,16 +54,16 @@
         fault: None,
         events,
     };
-    let day = played(&plan);
+    let day = run_day(&plan);
     let at = |t: i64| (t - day.started_at) / 1000;
-    let found: Vec<_> = day
+    let findings: Vec<_> = day
         .verdict
         .findings
         .iter()
         .map(|f| (at(f.time.as_micros()), f.rule, &f.evidence))
         .collect();
     println!(
-        "{} requests\n{}{found:#?}{:#?}",
+        "{} requests\n{}{findings:#?}{:#?}",
         day.requests, day.verdict, day.violations
     );
     assert!(
@@ -90,124 +91,128 @@
     }
 }
 
-/// Wrong directors, each convicted of what it does; `None`: of what is judged beside the six rules.
-fn convicted(fault: DirectorFault, of: Option<Rule>) {
+/// Runs a day with faulty directors and asserts that the audit detects the fault. `broken_rule` is `None` for a fault
+/// that is detected by checks other than the six rules.
+fn assert_detected(fault: DirectorFault, broken_rule: Option<Rule>) {
     use DayEvent::*;
-    // A director takes few requests until its nodes are warm for sure, 4 s after its start: too few for these.
-    let late = match fault {
+    // These faults need more requests than a director accepts before its nodes have warmed up, 4 s after its start.
+    let delay_ms = match fault {
         DirectorFault::OverloadsColdNode | DirectorFault::WastesAttempts => 3_600,
-        // What is not told counts as told 4 s later.
+        // An event that is not delivered counts as delivered 4 s later.
         DirectorFault::IgnoresSilentJournal => 5_000,
         _ => 0,
     };
-    let hush = (fault == DirectorFault::IgnoresSilentJournal).then_some([
+    let silent_journal = (fault == DirectorFault::IgnoresSilentJournal).then_some([
         (500, SilenceJournal),
         (600, DrainNode(0)),
         (610, DrainNode(3)),
     ]);
     let events = vec![
-        (late + 700, DrainNode(1)),
-        (late + 800, KillNode(2)),
-        (late + 1_100, RestartNode(2)),
+        (delay_ms + 700, DrainNode(1)),
+        (delay_ms + 800, KillNode(2)),
+        (delay_ms + 1_100, RestartNode(2)),
     ];
     let preferred_node = match fault {
         DirectorFault::IgnoresDraining => Some(1),
         DirectorFault::OverloadsColdNode => Some(2),
         _ => None,
     };
-    let preferred_node = preferred_node.map(|n| (late + 1_200, SetPreferredNode(n)));
-    // Told to end with requests in flight: nodes answer nothing for a while.
-    let ends = fault == DirectorFault::ExitsImmediately;
-    let mute = (0..6)
-        .filter(|_| ends)
+    let preferred_node = preferred_node.map(|n| (delay_ms + 1_200, SetPreferredNode(n)));
+    // Nodes stop answering for a while, so that the shutdown meets requests in flight.
+    let exits_immediately = fault == DirectorFault::ExitsImmediately;
+    let unresponsive_nodes = (0..6)
+        .filter(|_| exits_immediately)
         .map(|n| (1_500, SetNodeBehavior(n, NodeBehavior::Unresponsive)));
-    let told = (0..4).filter(|_| ends).map(|d| (1_900, StopDirector(d)));
-    let events = hush
+    let director_stops = (0..4)
+        .filter(|_| exits_immediately)
+        .map(|d| (1_900, StopDirector(d)));
+    let events = silent_journal
         .into_iter()
         .flatten()
         .chain(events)
         .chain(preferred_node)
-        .chain(mute)
-        .chain(told)
+        .chain(unresponsive_nodes)
+        .chain(director_stops)
         .collect();
     let plan = Plan {
         directors: 4,
         nodes: 6,
-        seconds: 4 + late / 1000,
+        seconds: 4 + delay_ms / 1000,
         seed: 2,
         fault: Some(fault),
         events,
     };
-    let day = played(&plan);
-    let found = broken_rules(&day.verdict);
-    match of {
+    let day = run_day(&plan);
+    let detected = broken_rules(&day.verdict);
+    match broken_rule {
         Some(rule) => assert!(
-            found.contains(&rule),
-            "{fault:?} goes free: {}{:#?}",
+            detected.contains(&rule),
+            "{fault:?} is not detected: {}{:#?}",
             day.verdict,
             day.violations
         ),
         None => assert!(
             !day.violations.is_empty(),
-            "{fault:?} goes free: {}",
+            "{fault:?} is not detected: {}",
             day.verdict
         ),
     }
 }
 
 #[test]
-fn who_loses_or_repeats_answers_is_convicted() {
-    convicted(DirectorFault::DropsAnswers, Some(Rule::OneAnswer));
-    convicted(DirectorFault::DuplicatesAnswers, Some(Rule::OneAnswer));
+fn lost_and_repeated_answers_are_detected() {
+    assert_detected(DirectorFault::DropsAnswers, Some(Rule::OneAnswer));
+    assert_detected(DirectorFault::DuplicatesAnswers, Some(Rule::OneAnswer));
 }
 
 #[test]
-fn who_makes_answers_up_or_keeps_releases_is_convicted() {
-    convicted(DirectorFault::FabricatesAnswers, None);
-    convicted(DirectorFault::DropsReleases, None);
+fn invented_answers_and_unreported_releases_are_detected() {
+    assert_detected(DirectorFault::FabricatesAnswers, None);
+    assert_detected(DirectorFault::DropsReleases, None);
 }
 
 #[test]
-fn who_pays_twice_or_plays_under_the_floor_is_convicted() {
-    convicted(
+fn duplicate_set_ups_and_rungs_below_the_floor_are_detected() {
+    assert_detected(
         DirectorFault::DuplicatesPaidSetUps,
         Some(Rule::NoDuplicateSetUp),
     );
-    convicted(DirectorFault::IgnoresRungFloor, Some(Rule::FloorsAndSeats));
+    assert_detected(DirectorFault::IgnoresRungFloor, Some(Rule::FloorsAndSeats));
 }
 
 #[test]
-fn who_ignores_drains_or_pushes_a_cold_node_is_convicted() {
-    convicted(DirectorFault::IgnoresDraining, Some(Rule::Draining));
-    convicted(DirectorFault::OverloadsColdNode, Some(Rule::SlowStart));
+fn ignored_draining_and_slow_start_are_detected() {
+    assert_detected(DirectorFault::IgnoresDraining, Some(Rule::Draining));
+    assert_detected(DirectorFault::OverloadsColdNode, Some(Rule::SlowStart));
 }
 
 #[test]
-fn who_sends_on_for_viewers_that_left_is_convicted() {
-    convicted(DirectorFault::ForwardsCancelledRequests, None);
+fn requests_forwarded_for_disconnected_viewers_are_detected() {
+    assert_detected(DirectorFault::ForwardsCancelledRequests, None);
 }
 
 #[test]
-fn who_ends_at_once_when_told_to_is_convicted() {
-    convicted(DirectorFault::ExitsImmediately, Some(Rule::OneAnswer));
+fn immediate_exit_on_shutdown_is_detected() {
+    assert_detected(DirectorFault::ExitsImmediately, Some(Rule::OneAnswer));
 }
 
 #[test]
-fn who_ignores_a_silent_list_is_convicted() {
-    convicted(DirectorFault::IgnoresSilentJournal, Some(Rule::Draining));
+fn ignored_silence_of_the_list_is_detected() {
+    assert_detected(DirectorFault::IgnoresSilentJournal, Some(Rule::Draining));
 }
 
-/// The two days on which those are convicted, with right directors: what is judged there can be kept.
+/// The conditions of the two tests above with correct directors: all rules can be kept.
 #[test]
-fn a_silent_list_and_an_end_with_requests_in_flight_break_no_rule() {
+fn silent_list_and_shutdown_with_requests_in_flight_break_no_rule() {
     use DayEvent::*;
-    let mute = (0..6).map(|n| (6_500, SetNodeBehavior(n, NodeBehavior::Unresponsive)));
+    let unresponsive_nodes =
+        (0..6).map(|n| (6_500, SetNodeBehavior(n, NodeBehavior::Unresponsive)));
     let events = [(500, SilenceJournal), (700, DrainNode(1))]
         .into_iter()
-        .chain(mute)
+        .chain(unresponsive_nodes)
         .chain([(6_900, StopDirector(0))])
         .collect();
-    let day = played(&Plan {
+    let day = run_day(&Plan {
         directors: 4,
         nodes: 6,
         seconds: 9,
@@ -225,6 +230,6 @@
 }
 
 #[test]
-fn who_wastes_attempts_is_convicted() {
-    convicted(DirectorFault::WastesAttempts, Some(Rule::RetryBudget));
+fn wasted_attempts_are_detected() {
+    assert_detected(DirectorFault::WastesAttempts, Some(Rule::RetryBudget));
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server connection: requests read within limits and time, answered in their order.
+//! A server connection: reads requests within limits and timeouts, and answers them in order.
 
 use crate::body::{BodyDecoder, LAST_CHUNK, Piece, write_chunk};
 use crate::client::{fill, with_timeout};
@@ -10,21 +10,21 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
     pub head: RequestHead,
     pub body: Vec<u8>,
 }
 
-/// Content of an answer.
+/// Content of a reply.
 pub enum Content {
     Complete(Vec<u8>),
-    /// Pieces as they come, chunked; dropped when the peer leaves.
+    /// Sent piece by piece with chunked coding; the stream is dropped when the peer closes the connection.
     Stream(Pin<Box<dyn Stream<Item = Vec<u8>>>>),
 }
 
-/// An answer.
+/// A response to send.
 pub struct Reply {
     pub status: u16,
     pub fields: Vec<(&'static str, String)>,
@@ -46,12 +46,12 @@
             .content(text.into_bytes())
     }
 
-    /// An error as RFC 9457 has it. `detail` is for people.
+    /// Creates a problem document (RFC 9457). `detail` is for people.
     pub fn problem(status: u16, detail: &str) -> Reply {
         Reply::problem_with(status, detail, Map::new())
     }
 
-    /// The same with members of its own (section 3.2).
+    /// Creates a problem document with extension members (RFC 9457, section 3.2).
     pub fn problem_with(status: u16, detail: &str, mut members: Map<String, Value>) -> Reply {
         members.insert("status".into(), status.into());
         members.insert("title".into(), crate::head::reason_phrase(status).into());
@@ -81,32 +81,32 @@
 /// How a connection ended.
 #[derive(Debug)]
 pub enum ConnectionEnd {
-    /// Between two requests.
+    /// Between two requests: the last reply closed the connection, the peer did, or it was idle for too long.
     Idle,
-    /// With a request half read: these bytes of it had come.
+    /// In the middle of a request; holds the bytes of the head or content received by then.
     Truncated(Vec<u8>),
-    /// While a request was being answered; its handler was dropped.
+    /// The peer closed the connection while a request was being answered; the handler was dropped.
     PeerClosed,
-    /// A request was turned down and the connection closed.
+    /// A request was rejected and the connection closed.
     Rejected(HttpError),
-    /// The peer took no bytes, or the connection broke while an answer was written.
+    /// A write timed out or failed.
     WriteFailed,
 }
 
-/// What is asked about a connection while it is served.
+/// Hooks of a connection that is being served.
 pub trait ConnectionHooks {
-    /// The head of a request has come, of so many bytes; the content may have so many at most. An error is the
-    /// answer, and the connection is closed after it.
+    /// Called with a request's head and the head's size in bytes. Returns the maximum size of the content in bytes. An
+    /// error is sent as the answer, and the connection is closed.
     fn on_request_head(&mut self, head: &RequestHead, size: usize) -> Result<usize, HttpError>;
 
-    /// The request has come whole: it is owed an answer.
+    /// Called when the request is complete, before it is handled.
     fn on_request_complete(&mut self);
 
-    /// A request has been answered, and none is under way.
+    /// Called when a request has been answered and no other one is in progress.
     fn on_idle(&mut self);
 }
 
-/// Nobody is asked.
+/// Accepts all requests.
 impl ConnectionHooks for () {
     fn on_request_head(&mut self, _: &RequestHead, _: usize) -> Result<usize, HttpError> {
         Ok(usize::MAX)
@@ -123,7 +123,8 @@
     limits: &'l Limits,
 }
 
-/// Serves a connection to its end. The handler's future is dropped when the peer closes before its answer.
+/// Serves a connection until it ends. The handler's future is dropped if the peer closes the connection before it
+/// completes.
 pub async fn serve<S, H, F>(stream: S, limits: &Limits, handle: H) -> ConnectionEnd
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -133,7 +134,7 @@
     serve_with_hooks(stream, limits, &mut (), handle).await
 }
 
-/// The same at a hooks that each request's head has to pass.
+/// Like [`serve`], with hooks that can reject a request by its head.
 pub async fn serve_with_hooks<S, H, F>(
     stream: S,
     limits: &Limits,
@@ -151,23 +152,23 @@
         limits,
     };
     loop {
-        let request = match server.read(hooks).await {
+        let request = match server.read_request(hooks).await {
             Ok(request) => request,
-            Err(ConnectionEnd::Rejected(bad)) => {
-                let reply = Reply::problem(bad.status, bad.detail);
-                if server.write(reply, false).await.is_some() {
+            Err(ConnectionEnd::Rejected(error)) => {
+                let reply = Reply::problem(error.status, error.detail);
+                if server.write_reply(reply, false).await.is_some() {
                     server.linger().await;
                 }
-                return ConnectionEnd::Rejected(bad);
+                return ConnectionEnd::Rejected(error);
             }
-            Err(ended) => return ended,
+            Err(end) => return end,
         };
         hooks.on_request_complete();
         let keep_alive = request.head.keep_alive;
-        let Some(reply) = server.answer(handle(request)).await else {
+        let Some(reply) = server.while_connected(handle(request)).await else {
             return ConnectionEnd::PeerClosed;
         };
-        match server.write(reply, keep_alive).await {
+        match server.write_reply(reply, keep_alive).await {
             Some(true) => hooks.on_idle(),
             Some(false) => return ConnectionEnd::Idle,
             None => return ConnectionEnd::WriteFailed,
@@ -176,7 +177,10 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Server<'_, S> {
-    async fn read(&mut self, hooks: &mut impl ConnectionHooks) -> Result<Request, ConnectionEnd> {
+    async fn read_request(
+        &mut self,
+        hooks: &mut impl ConnectionHooks,
+    ) -> Result<Request, ConnectionEnd> {
         if self.buf.is_empty() {
             let first = with_timeout(
                 self.limits.idle_timeout,
@@ -187,40 +191,41 @@
                 return Err(ConnectionEnd::Idle);
             }
         }
-        let late = |buf: &mut Vec<u8>, what| {
-            // A peer that sent nothing but part of a head is told; its bytes are dropped.
+        let timed_out = |buf: &mut Vec<u8>, what| {
+            // The peer gets an answer; the bytes of its incomplete request are dropped.
             buf.clear();
             ConnectionEnd::Rejected(HttpError::new(408, what))
         };
         let limits = self.limits;
-        let head = with_timeout(limits.head_timeout, self.head()).await;
+        let head = with_timeout(limits.head_timeout, self.read_head()).await;
         let (head, size) =
-            head.unwrap_or_else(|| Err(late(&mut self.buf, "the head took too long")))?;
-        let most = hooks
+            head.unwrap_or_else(|| Err(timed_out(&mut self.buf, "the head took too long")))?;
+        let max_body_bytes = hooks
             .on_request_head(&head, size)
             .map_err(ConnectionEnd::Rejected)?
             .min(limits.body);
-        let own = Limits {
-            body: most,
+        let request_limits = Limits {
+            body: max_body_bytes,
             ..limits.clone()
         };
-        let mut body = BodyDecoder::new(head.framing, &own).map_err(ConnectionEnd::Rejected)?;
+        let mut body =
+            BodyDecoder::new(head.framing, &request_limits).map_err(ConnectionEnd::Rejected)?;
         if head.expects_continue() && self.buf.is_empty() {
-            self.put(b"HTTP/1.1 100 Continue\r\n\r\n", limits.write_timeout)
+            self.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", limits.write_timeout)
                 .await
                 .ok_or(ConnectionEnd::WriteFailed)?;
         }
-        let content = with_timeout(limits.body_timeout, self.content(&mut body)).await;
-        let body =
-            content.unwrap_or_else(|| Err(late(&mut self.buf, "the content took too long")))?;
+        let content = with_timeout(limits.body_timeout, self.read_content(&mut body)).await;
+        let body = content
+            .unwrap_or_else(|| Err(timed_out(&mut self.buf, "the content took too long")))?;
         Ok(Request { head, body })
     }
 
-    /// A head and its size in bytes.
-    async fn head(&mut self) -> Result<(RequestHead, usize), ConnectionEnd> {
-        let mut finder = HeadParser::default();
+    /// Reads a head. Returns it with its size in bytes.
+    async fn read_head(&mut self) -> Result<(RequestHead, usize), ConnectionEnd> {
+        let mut parser = HeadParser::default();
         loop {
-            if let Some((head, used)) = finder
+            if let Some((head, used)) = parser
                 .parse_request(&self.buf, self.limits)
                 .map_err(ConnectionEnd::Rejected)?
             {
@@ -233,7 +238,7 @@
         }
     }
 
-    async fn content(&mut self, body: &mut BodyDecoder) -> Result<Vec<u8>, ConnectionEnd> {
+    async fn read_content(&mut self, body: &mut BodyDecoder) -> Result<Vec<u8>, ConnectionEnd> {
         let mut content = Vec::new();
         loop {
             match body.next(&self.buf).map_err(ConnectionEnd::Rejected)? {
@@ -254,15 +259,16 @@
         }
     }
 
-    /// Waits for the handler, or a piece, while it watches the peer. None: the peer has left.
-    async fn answer<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
+    /// Runs `work` (the handler, or the next piece) while watching the peer. Returns `None` if the peer closed the
+    /// connection.
+    async fn while_connected<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let Server {
             stream,
             buf,
             limits,
         } = self;
-        let gone = async {
-            // What comes early is the next request, kept up to the limit; past it the peer has to wait.
+        let peer_closed = async {
+            // Early bytes belong to the next request. They are buffered up to the limit; beyond it nothing is read.
             while buf.len() < limits.read_ahead {
                 if !matches!(fill(stream, buf).await, Ok(n) if n > 0) {
                     return None;
@@ -270,23 +276,23 @@
             }
             future::pending().await
         };
-        future::or(async { Some(work.await) }, gone).await
+        future::or(async { Some(work.await) }, peer_closed).await
     }
 
-    /// Closing over unread bytes would reset the connection and could take the answer with it, so what a
-    /// refused peer still sends is read and dropped, for a short time and up to a bound.
+    /// Reads and drops what a rejected peer still sends, for a limited time and size. Closing a socket with unread
+    /// bytes would reset the connection, and the peer could lose the answer.
     async fn linger(&mut self) {
         let Server {
             stream,
             buf,
             limits,
         } = self;
-        let mut left = limits.body;
+        let mut remaining = limits.body;
         let drain = async {
-            while left > 0 {
+            while remaining > 0 {
                 buf.clear();
                 match fill(stream, buf).await {
-                    Ok(n) if n > 0 => left = left.saturating_sub(n),
+                    Ok(n) if n > 0 => remaining = remaining.saturating_sub(n),
                     _ => return,
                 }
             }
@@ -294,52 +300,53 @@
         with_timeout(Duration::from_millis(300), drain).await;
     }
 
-    async fn put(&mut self, bytes: &[u8], within: Duration) -> Option<()> {
-        with_timeout(within, self.stream.write_all(bytes))
+    async fn write_all(&mut self, bytes: &[u8], timeout: Duration) -> Option<()> {
+        with_timeout(timeout, self.stream.write_all(bytes))
             .await?
             .ok()
     }
 
-    /// Writes an answer. Some(true): another request may follow; None: the peer takes nothing.
-    async fn write(&mut self, reply: Reply, keep_alive: bool) -> Option<bool> {
+    /// Writes a reply. Returns whether another request may follow, or `None` if a write timed out or failed.
+    async fn write_reply(&mut self, reply: Reply, keep_alive: bool) -> Option<bool> {
         let Reply {
             status,
             fields,
             content,
         } = reply;
-        let mut list: Vec<(&str, &str)> = fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
+        let mut header_fields: Vec<(&str, &str)> =
+            fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
         let length = if let Content::Complete(bytes) = &content {
             bytes.len().to_string()
         } else {
             String::new()
         };
         match &content {
-            // A 204 has no content and says nothing of its length (RFC 9110, section 8.6).
+            // A 204 has no content and no Content-Length (RFC 9110, section 8.6).
             Content::Complete(_) if status == 204 => {}
-            Content::Complete(_) => list.push(("Content-Length", &length)),
-            Content::Stream(_) => list.push(("Transfer-Encoding", "chunked")),
+            Content::Complete(_) => header_fields.push(("Content-Length", &length)),
+            Content::Stream(_) => header_fields.push(("Transfer-Encoding", "chunked")),
         }
         if !keep_alive {
-            list.push(("Connection", "close"));
+            header_fields.push(("Connection", "close"));
         }
         let mut out = Vec::with_capacity(512);
-        write_response(&mut out, status, &list);
-        let within = self.limits.write_timeout;
+        write_response(&mut out, status, &header_fields);
+        let timeout = self.limits.write_timeout;
         match content {
             Content::Complete(bytes) => {
                 out.extend_from_slice(&bytes);
-                self.put(&out, within).await?;
+                self.write_all(&out, timeout).await?;
             }
             Content::Stream(mut pieces) => {
-                self.put(&out, within).await?;
+                self.write_all(&out, timeout).await?;
                 loop {
-                    let next = self.answer(pieces.next()).await?;
+                    let next = self.while_connected(pieces.next()).await?;
                     out.clear();
                     match &next {
                         Some(piece) => write_chunk(&mut out, piece),
                         None => out.extend_from_slice(LAST_CHUNK),
                     }
-                    self.put(&out, within).await?;
+                    self.write_all(&out, timeout).await?;
                     if next.is_none() {
                         break;
                     }
--- a/crates/server/src/node/events.rs
+++ b/crates/server/src/node/events.rs
@@ -1,4 +1,4 @@
-//! A node's event stream: kept open, and what it tells decoded for the engine.
+//! Keeps a node's event stream open and decodes its events for the engine.
 
 use super::NodeConnections;
 use crate::director::Director;
@@ -14,24 +14,24 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// First pause between attempts at an event stream; each one doubles it.
+/// Delay before the first retry of an event stream; it doubles with each failed attempt.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
-/// Longest pause between attempts.
+/// Maximum delay between attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// One event holds at most so many bytes: a snapshot of all sessions of a node.
+/// Maximum size of one event, enough for a snapshot of all sessions of a node.
 const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 /// How an attempt at an event stream ended.
 enum StreamEnd {
-    /// It was open for a while.
+    /// It was open and ended.
     Closed,
-    /// The connection was refused: the node's process is gone.
+    /// The connection was refused, which means that the node's process has ended.
     Refused,
-    /// It never opened, or what came on it was not understood.
+    /// It could not be opened, or its snapshot could not be decoded.
     Failed,
 }
 
-/// Keeps a node's event stream open and passes on what it tells.
+/// Keeps a node's event stream open and passes its events to the engine.
 pub async fn watch(
     connections: Rc<NodeConnections>,
     director: Rc<Director>,
@@ -64,7 +64,8 @@
     let connection = match with_timeout(timeout, connections.pool.connect()).await {
         None => return StreamEnd::Failed,
         Some(Ok(connection)) => connection,
-        // Only this is proof. Out of descriptors, or without a route, a director knows nothing of its nodes.
+        // Only a refused connection proves that the process has ended. A lack of descriptors or of a route says nothing
+        // about the node.
         Some(Err(CallError::NotConnected(ConnectErrorKind::Refused, _))) => {
             return StreamEnd::Refused;
         }
@@ -87,8 +88,8 @@
     while let Some(batch) = events.next(timeout).await {
         for event in batch {
             if event.kind != "held" {
-                pass_on_event(server, &event.kind, &event.data, sink);
-            } else if !pass_on_snapshot(server, requested_at, &event.data, sink) {
+                forward_event(server, &event.kind, &event.data, sink);
+            } else if !forward_snapshot(server, requested_at, &event.data, sink) {
                 return StreamEnd::Failed;
             }
         }
@@ -96,15 +97,15 @@
     StreamEnd::Closed
 }
 
-fn pass_on_event(server: ServerId, kind: &str, data: &str, sink: &impl Fn(Input)) {
+fn forward_event(server: ServerId, kind: &str, data: &str, sink: &impl Fn(Input)) {
     match decode_event(kind, data) {
         Some(event) => sink(Input::NodeNotified { server, event }),
         None => warn!(server = server.0, kind, "node event not decoded"),
     }
 }
 
-/// False where the snapshot is not understood.
-fn pass_on_snapshot(
+/// Returns `false` if the snapshot can't be decoded.
+fn forward_snapshot(
     server: ServerId,
     requested_at: Timestamp,
     data: &str,
@@ -125,7 +126,7 @@
     true
 }
 
-/// A session as a node's snapshot tells of it.
+/// A session in a node's snapshot.
 #[derive(Deserialize)]
 struct SnapshotEntry {
     session: u64,
@@ -167,7 +168,7 @@
     let data: Value = serde_json::from_str(data).ok()?;
     let session = SessionId(data["session"].as_u64()?);
     let number = |name: &str| u32::try_from(data[name].as_u64()?).ok();
-    let part = |name: &str| data[name].as_f64().filter(|part| *part >= 0.0);
+    let fraction = |name: &str| data[name].as_f64().filter(|fraction| *fraction >= 0.0);
     Some(match kind {
         "ended" => NodeEvent::SessionEnded {
             session,
@@ -180,9 +181,9 @@
         },
         "figures" => NodeEvent::LoadReported {
             session,
-            delivered_fraction: part("delivered"),
-            link_utilization: part("link"),
-            uplink_utilization: part("uplink"),
+            delivered_fraction: fraction("delivered"),
+            link_utilization: fraction("link"),
+            uplink_utilization: fraction("uplink"),
         },
         _ => return None,
     })
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,11 +1,11 @@
-//! One director on its sockets, put together from its settings.
+//! Assembles a director from its settings and runs it.
 
 use crate::accept::accept_connections;
 use crate::director::Director;
 use crate::endpoint_list;
 use crate::event_loop::EventLoop;
 use crate::tenant_sync::TenantSync;
-use crate::tenants::{TenantGate, Tenants};
+use crate::tenants::{TenantAdmissionControl, Tenants};
 use crate::usage_reports::UsageReporter;
 use crate::viewer_api::ViewerApi;
 use async_executor::{LocalExecutor, Task};
@@ -24,17 +24,17 @@
 use thiserror::Error;
 use tracing::info;
 
-/// How often a director that is told to end looks whether it may.
+/// How often a graceful shutdown checks whether it is complete.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The last answers are on their way out for so long.
-const LAST_ANSWERS: Duration = Duration::from_millis(50);
-/// Bits of an incarnation.
+/// Delay before exit in which the last answers are written.
+const FINAL_WRITE_DELAY: Duration = Duration::from_millis(50);
+/// Limits an incarnation to 14 bits.
 const INCARNATION_MASK: i64 = 0x3fff;
 
 /// Why a director can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The socket can't be opened, or the token of the administration API not be read.
+    /// The socket can't be opened, or the token for the administration API can't be read.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The file of the ticket key can't be read.
@@ -42,70 +42,70 @@
     KeyUnreadable {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// Why it can't be read.
         error: io::Error,
     },
-    /// The file of the ticket key holds no key.
+    /// The file of the ticket key does not contain a valid key.
     #[error("{}: {error}", file.display())]
     InvalidKey {
         /// The file.
         file: PathBuf,
-        /// What is wrong with it.
+        /// Why it is invalid.
         error: InvalidTicketKey,
     },
 }
 
-/// A director that listens.
+/// A running director.
 pub struct Server {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     event_loop: Rc<EventLoop>,
     api: Rc<ViewerApi>,
-    accepting: Task<()>,
-    /// Sessions that play are waited for so long at the end.
+    accept_task: Task<()>,
+    /// Maximum time that a graceful shutdown waits for playing sessions.
     drain_timeout: Duration,
 }
 
 impl Server {
-    /// Starts a director on an executor; it runs as long as that does.
+    /// Starts a director on an executor. It runs until the executor is dropped.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
-        plan: &ServerConfig,
+        config: &ServerConfig,
     ) -> Result<Server, StartError> {
         let now = shalewall_clock::now();
-        // Starts within some hours of each other differ in their seconds.
+        // Seconds since 1970 modulo 2^14, so starts within four and a half hours of each other have distinct values.
         let incarnation = ((now.as_micros() / 1_000_000) & INCARNATION_MASK) as u16;
-        let settings = &plan.front;
+        let settings = &config.front;
         let listener = TcpListener::bind(settings.listen)?;
         let address = listener.local_addr()?;
         let listener = Async::new(listener)?;
-        let mut engine = Engine::new(plan.site.config(settings, incarnation), now);
-        let hosting = plan.hosting.as_ref();
+        let mut engine = Engine::new(config.site.config(settings, incarnation), now);
+        let hosting = config.hosting.as_ref();
         let hosted = hosting
-            .map(|hosting| Hosted::new(hosting, plan))
+            .map(|hosting| Hosted::new(hosting, config))
             .transpose()?;
         if let Some(hosted) = &hosted {
-            engine.set_admission_control(Box::new(TenantGate(hosted.tenants.clone())));
+            engine.set_admission_control(Box::new(TenantAdmissionControl(hosted.tenants.clone())));
         }
         let director = Director {
             number: settings.number,
             limits: Limits::default(),
             stream_timeout: Duration::from_millis(settings.stream_timeout_ms),
-            ticket_key: ticket_key(plan)?,
+            ticket_key: ticket_key(config)?,
         };
         let event_loop = EventLoop::start(executor.clone(), engine, director);
-        let list = endpoint_list::watch(
+        let endpoint_watch = endpoint_list::watch(
             settings.endpoint_list,
             event_loop.director.clone(),
             event_loop.input_sink(),
         );
-        executor.spawn(list).detach();
+        executor.spawn(endpoint_watch).detach();
         if let Some(hosted) = &hosted {
             hosted.spawn_sync(executor, &event_loop);
         }
         let tenants = hosted.map(|hosted| hosted.tenants);
         let api = Rc::new(ViewerApi::new(event_loop.clone(), tenants.clone()));
-        let accepting = executor.spawn(accept_connections(
+        let accept_task = executor.spawn(accept_connections(
             event_loop.clone(),
             api.clone(),
             tenants,
@@ -117,45 +117,46 @@
             address,
             event_loop,
             api,
-            accepting,
+            accept_task,
             drain_timeout: Duration::from_secs_f64(settings.shutdown_grace_s),
         })
     }
 
-    /// Serves until the process is told to end (SIGTERM or SIGINT); told twice, it ends at once. It takes nothing
-    /// new then, answers every request that waits, and gives sessions that play their time.
+    /// Serves until SIGTERM or SIGINT, then shuts down gracefully: accepts no connections and rejects new sessions,
+    /// answers all waiting requests, and waits up to the drain timeout for playing sessions to end. A second signal
+    /// ends the wait.
     pub async fn run_until_signal(self) -> io::Result<()> {
         let mut signals = Signals::new([Signal::Term, Signal::Int])?;
         signals.next().await;
         self.api.shut_down();
-        self.accepting.cancel().await;
+        self.accept_task.cancel().await;
         info!(sessions = ?self.event_loop.session_counts(), "shutdown started");
         let second_signal = async {
             signals.next().await;
         };
         let drained = drain(&self.event_loop, self.drain_timeout);
         futures_lite::future::or(drained, second_signal).await;
-        Timer::after(LAST_ANSWERS).await;
+        Timer::after(FINAL_WRITE_DELAY).await;
         info!(sessions = ?self.event_loop.session_counts(), "shutdown finished");
         Ok(())
     }
 }
 
-/// Waits until no request waits, and nothing plays or the time for that is up.
+/// Waits until no request is waiting and either no session is left or the timeout has passed.
 async fn drain(event_loop: &EventLoop, timeout: Duration) {
     let deadline = Instant::now() + timeout;
     loop {
         let counts = event_loop.session_counts();
-        let is_over = Instant::now() >= deadline;
+        let is_timed_out = Instant::now() >= deadline;
         let playing = counts.playing + counts.ending + counts.unconfirmed_ends;
-        if counts.waiting == 0 && (playing == 0 || is_over) {
+        if counts.waiting == 0 && (playing == 0 || is_timed_out) {
             return;
         }
         Timer::after(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-/// The tenants of a hosted service, and how its administration API is reached.
+/// The tenants of a hosted service, and the settings for its administration API.
 struct Hosted {
     tenants: Rc<Tenants>,
     hosting: Hosting,
@@ -163,12 +164,12 @@
 }
 
 impl Hosted {
-    fn new(hosting: &Hosting, plan: &ServerConfig) -> io::Result<Hosted> {
+    fn new(hosting: &Hosting, config: &ServerConfig) -> io::Result<Hosted> {
         let token = std::fs::read_to_string(&hosting.token_file)?;
         let tenants = Tenants::new(
             hosting.set_ups_per_s,
-            plan.front.max_sessions,
-            plan.front.max_connections,
+            config.front.max_sessions,
+            config.front.max_connections,
         );
         Ok(Hosted {
             tenants,
@@ -177,7 +178,7 @@
         })
     }
 
-    /// Spawns what keeps the tenants up to date and reports their sessions.
+    /// Spawns the tasks that synchronize the tenants and report their usage.
     fn spawn_sync(&self, executor: &Rc<LocalExecutor<'static>>, event_loop: &Rc<EventLoop>) {
         let tenants = &self.tenants;
         let reporter = UsageReporter::new(
@@ -197,15 +198,15 @@
     }
 }
 
-/// The key of migration tickets, where the site's sessions are moved.
-fn ticket_key(plan: &ServerConfig) -> Result<Option<TicketKey>, StartError> {
-    match &plan.front.ticket_key_file {
-        Some(file) if plan.site.moves.is_some() => read_ticket_key(file).map(Some),
+/// Reads the key for migration tickets if the site migrates sessions.
+fn ticket_key(config: &ServerConfig) -> Result<Option<TicketKey>, StartError> {
+    match &config.front.ticket_key_file {
+        Some(file) if config.site.moves.is_some() => read_ticket_key(file).map(Some),
         _ => Ok(None),
     }
 }
 
-/// Reads a key from its file: 32 bytes in hexadecimal.
+/// Reads a key of 32 bytes in hexadecimal from a file.
 fn read_ticket_key(file: &Path) -> Result<TicketKey, StartError> {
     let text = std::fs::read_to_string(file).map_err(|error| StartError::KeyUnreadable {
         file: file.to_path_buf(),
--- a/crates/server/src/viewer_api.rs
+++ b/crates/server/src/viewer_api.rs
@@ -1,4 +1,4 @@
-//! The viewers' side: sessions asked for and ended, as `docs/protocol.md` has it.
+//! The HTTP API for viewers, which requests and ends sessions. `docs/protocol.md` specifies it.
 
 use crate::event_loop::EventLoop;
 use crate::tenants::Tenants;
@@ -13,35 +13,35 @@
 /// Answers viewers' requests.
 pub struct ViewerApi {
     event_loop: Rc<EventLoop>,
-    /// The tenants that this director follows, where it is shared by some.
+    /// The tenants of a hosted service; `None` for a director without tenants.
     tenants: Option<Rc<Tenants>>,
-    /// Told to end: no session is begun any more.
+    /// Set during a graceful shutdown: new sessions are rejected.
     is_shutting_down: Cell<bool>,
 }
 
-/// What a request names below `/sessions/`.
+/// The path of a request below `/sessions/`.
 struct SessionPath<'r> {
     session: Option<SessionId>,
-    /// What it names of the session.
-    part: Option<&'r str>,
+    /// The sub-resource of the session, if the path names one.
+    subresource: Option<&'r str>,
 }
 
 impl SessionPath<'_> {
-    fn of(path: &str) -> SessionPath<'_> {
+    fn parse(path: &str) -> SessionPath<'_> {
         let rest = path.strip_prefix("/sessions/").unwrap_or_default();
-        let (number, part) = match rest.split_once('/') {
-            Some((number, part)) => (number, Some(part)),
+        let (number, subresource) = match rest.split_once('/') {
+            Some((number, subresource)) => (number, Some(subresource)),
             None => (rest, None),
         };
         SessionPath {
             session: number.parse().ok().map(SessionId),
-            part,
+            subresource,
         }
     }
 }
 
 impl ViewerApi {
-    /// The API in front of an event loop.
+    /// Creates the API of an event loop.
     pub fn new(event_loop: Rc<EventLoop>, tenants: Option<Rc<Tenants>>) -> ViewerApi {
         ViewerApi {
             event_loop,
@@ -50,22 +50,22 @@
         }
     }
 
-    /// Begins no session any more.
+    /// Rejects new sessions from now on.
     pub fn shut_down(&self) {
         self.is_shutting_down.set(true);
     }
 
-    /// Answers one request.
+    /// Answers one HTTP request.
     pub async fn answer(self: Rc<ViewerApi>, request: Request) -> Reply {
         let head = &request.head;
-        let path = SessionPath::of(head.path());
-        if let (Some(session), Some(part)) = (path.session, path.part) {
-            return self.answer_part(session, part, &request);
+        let path = SessionPath::parse(head.path());
+        if let (Some(session), Some(subresource)) = (path.session, path.subresource) {
+            return self.answer_subresource(session, subresource, &request);
         }
         match (head.method.as_str(), head.path(), path.session) {
             ("POST", "/sessions", _) => self.begin_session(&request).await,
             ("DELETE", _, Some(session)) => {
-                // Ending what has ended, or never was, is no error: it is as the viewer wants it.
+                // Idempotent: ending a session that has ended or never existed is not an error.
                 self.event_loop.handle(Input::EndSession { session });
                 Reply::new(204)
             }
@@ -75,13 +75,18 @@
         }
     }
 
-    fn answer_part(&self, session: SessionId, part: &str, request: &Request) -> Reply {
+    fn answer_subresource(
+        &self,
+        session: SessionId,
+        subresource: &str,
+        request: &Request,
+    ) -> Reply {
         let event_loop = &self.event_loop;
         let reply = match request.head.method.as_str() {
-            "GET" if part == "events" => {
+            "GET" if subresource == "events" => {
                 Some(player_events::open_stream(event_loop, session, request))
             }
-            "POST" => player_events::take_report(event_loop, session, part, request),
+            "POST" => player_events::handle_report(event_loop, session, subresource, request),
             _ => None,
         };
         reply.unwrap_or_else(|| Reply::problem(404, "no such thing here"))
@@ -89,7 +94,7 @@
 
     async fn begin_session(&self, request: &Request) -> Reply {
         if self.is_shutting_down.get() {
-            // Nothing was set up: another director may have it at once.
+            // Nothing was set up, so the viewer may retry at another director immediately.
             return problem(503, "this front is ending", None, Some(TimeDelta::ZERO));
         }
         let request = match session_request::decode(request) {
@@ -112,7 +117,7 @@
             "owed_ends": counts.unconfirmed_ends,
         });
         if let Some(tenants) = &self.tenants {
-            // As of which change, and whether later ones would be heard of.
+            // The last applied change, and whether later ones are being received.
             state["tenants"] = tenants.change_number().into();
             state["tenants_followed"] = tenants.is_connected().into();
         }
@@ -120,7 +125,7 @@
     }
 }
 
-/// A problem that names its session and says when to come back, where there are such.
+/// A problem document with the session's id and the retry delay, where they are known.
 fn problem(
     status: u16,
     detail: &str,
@@ -172,7 +177,7 @@
 fn rejection(session: Option<SessionId>, retry_after: Option<TimeDelta>) -> Reply {
     let reply = problem(503, "turned away, free to come back", session, retry_after);
     match retry_after {
-        // The field has whole seconds; the exact time is in the body.
+        // The field takes whole seconds; the body has the exact delay.
         Some(after) => reply.with_field(
             "Retry-After",
             ((after.as_micros() + 999_999) / 1_000_000).to_string(),
