--- a/crates/director-config/src/module_settings.rs
+++ b/crates/director-config/src/module_settings.rs
@@ -158,7 +158,7 @@
         names.tenants.push(name.to_string());
         tenants.push(TenantSettings {
             request_quota_per_s: tenant.number_or("AllowancePerS", 0.0)?,
-            // Not available: the key `Share` is not read.
+            // Quotas of the fleet are not supported here: the key `Share` is not read.
             fleet_quota: 0.0,
         });
     }
--- a/crates/platform-proto/src/node.rs
+++ b/crates/platform-proto/src/node.rs
@@ -136,7 +136,8 @@
         self.was_connected = true;
     }
 
-    /// Records that a connection was established or a message received. A stalled machine accepts connections as well.
+    /// Records that a connection was established or a message received. Either shows that the machine is not lost; a
+    /// stalled one still accepts connections.
     pub(crate) fn record_contact(&mut self, now: Timestamp) {
         self.last_received_at = now;
         self.unreachable_since = None;
--- a/crates/platform-proto/src/status.rs
+++ b/crates/platform-proto/src/status.rs
@@ -28,7 +28,8 @@
     /// Current connections and nodes.
     pub connections: ConnectionCounts,
     /// The servers with the highest estimated utilization: id, link and uplink utilization, as `s-0000002a 0.71/0.44`,
-    /// followed by `cold` (warming up), `short` (of capacity) or the number of failures.
+    /// followed by `cold` if it is warming up, `short` if it delivers less than its sessions' rates, and `failed` with
+    /// the number of failures if there are any.
     pub fullest_servers: String,
     /// Attempts and sessions that ended, by outcome, as `Success 12, Rejected 1`.
     pub ended: String,
--- a/crates/settings/src/day/violations.rs
+++ b/crates/settings/src/day/violations.rs
@@ -12,7 +12,7 @@
         let mut violations = self.site.violations();
         self.check_load(&mut violations);
         self.check_hosted(&mut violations);
-        self.check_load_by_name(&mut violations);
+        self.check_load_references(&mut violations);
         for (name, machine) in &self.fleet.machines {
             self.check_machine(name, machine, &mut violations);
         }
@@ -54,7 +54,7 @@
     }
 
     /// Checks the load's references to tenants and classes.
-    fn check_load_by_name(&self, violations: &mut Vec<Violation>) {
+    fn check_load_references(&self, violations: &mut Vec<Violation>) {
         for (name, rate) in &self.load.tenant_rates {
             if !self.site.tenants.contains_key(name) || !rate.is_finite() || *rate <= 0.0 {
                 let path = format!("load.tenants.{name}");
--- a/crates/settings/src/site/module_settings.rs
+++ b/crates/settings/src/site/module_settings.rs
@@ -25,34 +25,34 @@
     }
 
     /// The engine's configuration for one director. `incarnation` distinguishes this start of the director from others.
-    pub fn config(&self, front: &DirectorSettings, incarnation: u16) -> Config {
+    pub fn config(&self, director: &DirectorSettings, incarnation: u16) -> Config {
         let titles = self.titles.iter();
         Config {
-            seed: front.seed,
-            settings: self.settings(front),
+            seed: director.seed,
+            settings: self.settings(director),
             classes: self.classes(),
             tenants: self.tenants.keys().cloned().collect(),
             zones: self.zones.clone(),
             machine_kinds: self.kinds.keys().cloned().collect(),
             titles: titles
-                .map(|(name, title)| (name.clone(), title.place()))
+                .map(|(name, title)| (name.clone(), title.placement()))
                 .collect(),
-            max_sessions: front.max_sessions,
+            max_sessions: director.max_sessions,
             incarnation,
             migration: self.moves.as_ref().map(MigrationSettings::policy),
         }
     }
 
     /// The decision module's settings for one director.
-    pub fn settings(&self, front: &DirectorSettings) -> Settings {
+    pub fn settings(&self, director: &DirectorSettings) -> Settings {
         let highest_rung = self.ladder.len().saturating_sub(1);
         let classes = self.classes.values();
         let all_shares: f64 = self.tenants.values().map(|tenant| tenant.share).sum();
         let tenants = self.tenants.values();
         Settings {
-            director_index: front.number,
-            director_count: front.director_count,
-            zone: self.zone_index(front),
+            director_index: director.number,
+            director_count: director.director_count,
+            zone: self.zone_index(director),
             classes: classes.map(|class| class.settings(highest_rung)).collect(),
             tenants: tenants.map(|tenant| tenant.settings(all_shares)).collect(),
             ladder: self.rungs(),
@@ -80,8 +80,8 @@
         }
     }
 
-    fn zone_index(&self, front: &DirectorSettings) -> Option<usize> {
-        let zone = front.zone.as_ref()?;
+    fn zone_index(&self, director: &DirectorSettings) -> Option<usize> {
+        let zone = director.zone.as_ref()?;
         self.zones.iter().position(|name| name == zone)
     }
 
@@ -165,7 +165,7 @@
 }
 
 impl Title {
-    fn place(&self) -> TitlePlacement {
+    fn placement(&self) -> TitlePlacement {
         TitlePlacement {
             first_cell: self.first_cell,
             replica_cells: self.replica_cells,
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -20,7 +20,7 @@
     started_at: Option<Timestamp>,
 }
 
-/// A list of which lines are missing.
+/// A list whose lines have not all been received.
 struct IncompleteList {
     number: u64,
     missing_lines: u64,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -64,7 +64,7 @@
             EventKind::Notified => return read_notification(fields),
             EventKind::AttemptFinished => read_finished_attempt(fields)?,
             EventKind::RequestWithdrawn => Event::RequestWithdrawn(read_session(fields)?),
-            // Directors only set numeric tokens, so any other one belongs to nobody.
+            // Directors set numeric tokens only; a timer with any other token is ignored.
             EventKind::TimerFired => {
                 return Ok(fields.text("Ref")?.parse().ok().map(Event::TimerFired));
             }
--- a/src/director.rs
+++ b/src/director.rs
@@ -1,7 +1,7 @@
 //! The director: a state machine that takes timestamped events and returns actions.
 //!
 //! This file owns the state and dispatches each event; the files under `src/director` apply one kind of event
-//! each. Decisions and tuned values are in `src/policy` alone.
+//! each. Decisions and their constants are in `src/policy` alone.
 
 mod endpoints;
 mod health_checks;
--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -130,7 +130,7 @@
         sessions.map_or(0, |sessions| count_after(sessions, time))
     }
 
-    /// Whether the index has an entry for a server.
+    /// Whether the index of sessions by server has an entry for a server.
     pub fn has_sessions_at(&self, server: ServerId) -> bool {
         self.director.sessions.by_server.contains_key(&server)
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -137,8 +137,8 @@
     pub overload_factor: f64,
     /// Length of the window over which overload is measured.
     pub overload_window: TimeDelta,
-    /// A director without a subscription that has not polled the endpoint list for this long is assumed to
-    /// know its changes.
+    /// Longest time for which a director without a subscription may leave the endpoint list unpolled. It is
+    /// assumed to know all changes that are older.
     pub poll_deadline: TimeDelta,
     /// Budget of retries; `None`: no limit.
     pub retry_budget: Option<RetryBudget>,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,4 +1,4 @@
-//! All decisions of the director, one concern per file, with their tuned constants.
+//! All decisions of the director, one concern per file, with their constants.
 //!
 //! [`admission`] holds the normal path: it places or rejects each request by estimated utilization. Every
 //! other file enforces a rule, handles an exception whose condition it documents, or computes an estimate
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,11 +11,11 @@
 use crate::state::sessions::PendingRequest;
 use crate::time::{TimeDelta, Timestamp};
 
-/// Highest utilization of a link at which a session gets its preferred rung. `C0` in the design, with its
-/// default.
+/// Highest utilization of a link at which a session gets its preferred rung. The design calls it `C0` and
+/// gives this default.
 pub(crate) const PREFERRED_RUNG_UTILIZATION_LIMIT: f64 = 0.85;
-/// Highest utilization of a link at which sessions are set up at all, the design's default. The rest absorbs
-/// actual rates that deviate by a few percent from nominal ones.
+/// Highest utilization of a link at which sessions are set up at all; the design gives this default. The
+/// rest of the capacity absorbs actual rates that deviate by a few percent from nominal ones.
 pub(crate) const UTILIZATION_LIMIT: f64 = 0.93;
 /// Margin that is added to the mean utilization for a link without a report, in standard deviations over the
 /// reported links. A session at the lowest rung needs no margin.
--- a/src/policy/capacity_estimate.rs
+++ b/src/policy/capacity_estimate.rs
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Drops reports that have expired, so that a server is not avoided forever on an old report. Sessions
-    /// bring the reports, and a server that is avoided gets none.
+    /// Drops reports that have expired, so that a server is not avoided forever on an old report:
+    /// reports come with sessions, so a server without sessions sends no new one.
     pub(crate) fn expire_reports(&mut self) {
         let interval = self.settings.notification_interval.max(TimeDelta::from_secs(1));
         let expiry = interval * EXPIRY_INTERVALS + self.settings.notification_delay;
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -72,13 +72,13 @@
             server.health.failures = 0;
         } else {
             server.health.record_failure(self.now);
-            // It may restart at any moment and has to warm up then.
+            // The process may restart at any moment, and would then have to warm up.
             server.warm_at = server.warm_at.max(self.now + self.settings.rules.warm_up);
         }
     }
 
-    /// Whether a server may get an attempt of this request: it is ready, was not tried for it, has room in
-    /// its warm-up limit, and is not ejected.
+    /// Whether a server may get an attempt of this request: it is ready, was not tried for it, is
+    /// allowed it by its warm-up limit, and is not ejected.
     pub(crate) fn is_available(&self, server: &Server, pending: &PendingRequest) -> bool {
         let is_ready = server.endpoint.state == EndpointState::Ready;
         if !is_ready
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -5,8 +5,8 @@
 
 /// Interval of the periodic tasks, short enough to react to the servers' notifications.
 pub(crate) const TICK_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
-/// Retry interval of a failed subscription to the endpoint list.
-const POLL_RETRY_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
+/// Interval at which the director requests a subscription to the endpoint list until it has one.
+const SUBSCRIPTION_RETRY_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
 
 impl Director {
     /// Updates the estimates, expires reports and upgrades sessions.
@@ -19,7 +19,7 @@
     /// Whether to request a subscription to the endpoint list. `requested_at` is the time of the last
     /// request.
     pub(crate) fn is_subscription_due(&self, requested_at: Option<Timestamp>) -> bool {
-        let is_retry_due = requested_at.is_none_or(|at| self.now - at >= POLL_RETRY_INTERVAL);
+        let is_retry_due = requested_at.is_none_or(|at| self.now - at >= SUBSCRIPTION_RETRY_INTERVAL);
         self.settings.must_poll_endpoints && is_retry_due
     }
 }
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -1,6 +1,6 @@
-//! Exception: a server that has just started fails above a certain rate of set-ups. So it accepts only a
-//! fraction of the requests, selected by hash, which keeps that rate even if every director sends all that it
-//! may.
+//! Exception: a server that has just started fails if its set-ups exceed a certain rate. So a director sends
+//! it only a fraction of the requests, selected by hash. The fraction is small enough to stay below that rate
+//! even if every director sends as much as it is allowed to.
 
 use crate::director::Director;
 use crate::hash::{draw, tie_breaker};
@@ -8,7 +8,8 @@
 use crate::state::sessions::{PendingRequest, count_after};
 use crate::time::TimeDelta;
 
-/// Fraction used of the rate of set-ups at which a warming server fails. The rest absorbs random bursts and
+/// Set-ups that all directors together may send to a warming server, as a fraction of the rate at which it
+/// fails. The rest absorbs random bursts and
 /// deviations of its capacity.
 const SETUP_RATE_MARGIN: f64 = 0.5;
 /// Lower bound of the assumed fraction of all requests that are for a title, however few servers host it.
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -1,4 +1,4 @@
-//! The times of recent set-ups, and their mean duration.
+//! The times of recent requests, retries and migrations, and the mean set-up time.
 
 use crate::interface::{Outcome, SessionId};
 use crate::time::{TimeDelta, Timestamp};
--- a/src/state/sessions.rs
+++ b/src/state/sessions.rs
@@ -11,8 +11,8 @@
 /// Marks placeholder ids. Session ids are below this bit.
 const PLACEHOLDER_BIT: u64 = 1 << 52;
 
-/// A request without an attempt in flight. Sending an attempt and answering consume it, so neither can happen
-/// twice.
+/// A request with the attempts sent for it so far. Sending an attempt moves it into the [`ActiveSession`], and
+/// a final answer drops it, so that neither can happen twice.
 #[derive(Clone)]
 pub(crate) struct PendingRequest {
     pub request: Request,
@@ -47,7 +47,7 @@
     /// The session plays.
     Playing,
     /// The request is answered or withdrawn while the attempt is in flight. It still counts towards session
-    /// limits and rates, and is not retried.
+    /// limits and rates, and is not retried. Also the state of a migration's placeholder.
     Closed,
 }
 
