--- a/crates/membership/tests/sealer.rs
+++ b/crates/membership/tests/sealer.rs
@@ -154,7 +154,7 @@
     let (mut a, mut b) = (sealer("a", 1), sealer("b", 1));
     let first = a.seal(START, PeerId::of_name("b"), b"join").unwrap();
     let Err(OpenError::InvalidToken { challenge }) = b.open(START, &first) else {
-        panic!("taken without a token")
+        panic!("accepted without a token")
     };
     a.open(START, &challenge).unwrap();
     let next = a
--- a/crates/platform-proto/tests/attempts.rs
+++ b/crates/platform-proto/tests/attempts.rs
@@ -94,7 +94,7 @@
     harness.connect(second);
     harness.receive(second, set_up_answer(8, "there"));
     harness.request(viewer, 9, "free");
-    let (node, server) = if harness.take_written(first).contains("0000000000000009") {
+    let (node, tag) = if harness.take_written(first).contains("0000000000000009") {
         (first, 7)
     } else {
         (second, 8)
@@ -107,7 +107,7 @@
             .written
             .get(&node)
             .is_some_and(|text| text.starts_with("TEARDOWN")),
-        "{server}"
+        "the connection of session {tag}"
     );
     for connection in harness
         .node_connections
--- a/crates/platform-proto/tests/common/mod.rs
+++ b/crates/platform-proto/tests/common/mod.rs
@@ -16,6 +16,7 @@
 /// An arbitrary start time.
 pub const START: Timestamp = Timestamp::from_micros(1_700_000_000_000_000);
 
+/// Addresses of the two nodes; node `n` has index `n - 1`.
 pub const NODE: [&str; 2] = ["10.1.0.1:5060", "10.1.0.2:5060"];
 
 pub fn config() -> Config {
--- a/crates/platform-proto/tests/model/mod.rs
+++ b/crates/platform-proto/tests/model/mod.rs
@@ -116,7 +116,7 @@
         self.harness.receive(viewer, finish_message(session));
         let started = &self.started;
         self.node_sessions
-            .retain(|(_, held)| *held != session || !started.contains(held));
+            .retain(|(_, active)| *active != session || !started.contains(active));
     }
 
     fn close_viewer(&mut self, viewer: usize, clean: bool) {
@@ -199,11 +199,11 @@
             return;
         };
         let node = self.node_of.get(&connection).copied().unwrap_or(0);
-        let held = self
+        let active = self
             .node_sessions
             .iter()
-            .find(|(holder, session)| *holder == node && self.started.contains(session));
-        let Some((_, session)) = held.copied() else {
+            .find(|(host, session)| *host == node && self.started.contains(session));
+        let Some((_, session)) = active.copied() else {
             return;
         };
         self.node_sessions.remove(&(node, session));
--- a/crates/platform-proto/tests/session_lifecycle.rs
+++ b/crates/platform-proto/tests/session_lifecycle.rs
@@ -179,7 +179,7 @@
 /// A release waits for a socket that accepts nothing, or half of it, and the connection closes: it is sent on the next
 /// connection. Found by the random steps.
 #[test]
-fn a_release_not_taken_by_a_node_is_sent_on_the_next_connection() {
+fn a_release_not_written_to_a_node_is_sent_on_the_next_connection() {
     for half in [false, true] {
         let mut harness = Harness::new();
         let (viewer, node) = harness.start_session(7, "free");
--- a/crates/platform-proto/tests/untrusted_input.rs
+++ b/crates/platform-proto/tests/untrusted_input.rs
@@ -14,7 +14,7 @@
 #[test]
 fn an_invalid_request_is_answered_and_reaches_no_node() {
     let valid = start_message(7, "free", 1500, "");
-    let odd = [
+    let invalid = [
         valid.replace("free", "gold"),
         valid.replace("\"1500\"", "\"-5\""),
         valid.replace("\"1500\"", "\"1e99\""),
@@ -27,7 +27,7 @@
         valid.replace("7f3a9c21e0b4d655", "7f3a"),
         valid.replace(r#","blob":"here\r\n""#, ""),
     ];
-    for line in odd {
+    for line in invalid {
         let mut harness = Harness::new();
         let viewer = harness.connect_viewer();
         harness.receive(viewer, &line);
@@ -57,7 +57,7 @@
         "{{\"verb\":\"START\",\"blob\":\"{}",
         "x".repeat(MAX_MESSAGE_BYTES)
     );
-    let odd = [
+    let invalid = [
         "\n",
         "{}\n",
         "\u{1}\u{2}\n",
@@ -69,7 +69,7 @@
     let valid = harness.connect_viewer();
     harness.request(valid, 1, "free");
     let mut all_bad = Vec::new();
-    for (tag, bytes) in (2..).zip(odd) {
+    for (tag, bytes) in (2..).zip(invalid) {
         let bad = harness.connect_viewer();
         harness.request(bad, tag, "free");
         harness.receive(bad, bytes);
--- a/tests/counts.rs
+++ b/tests/counts.rs
@@ -56,10 +56,10 @@
     if reported_at < session.sent_at() || is_unreported || highest <= session.rung() {
         return None;
     }
-    let part = director.upgrade_draw(request.session);
+    let fraction = director.upgrade_draw(request.session);
     let mut higher = (session.rung() + 1..=highest).rev();
-    let asked = higher.find(|rung| director.is_affordable(session, *rung, part))?;
-    let rung = director.choose_rung(session, asked)?;
+    let preferred = higher.find(|rung| director.is_affordable(session, *rung, fraction))?;
+    let rung = director.choose_rung(session, preferred)?;
     if rung <= session.rung() {
         return None;
     }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -92,7 +92,7 @@
     let ladder = settings.ladder.clone();
     let mut harness = DirectorHarness::new(settings, 1);
     let mut given = Vec::new();
-    let mut held = BTreeMap::new();
+    let mut rungs_by_session = BTreeMap::new();
     for id in 1..=viewers {
         harness.advance(SECOND);
         let request = Request {
@@ -104,17 +104,20 @@
         assert!(!is_rejected(&out), "viewer {id}");
         for action in &out {
             if let Action::SetRung { session, rung } = action {
-                held.insert(session.0, *rung);
+                rungs_by_session.insert(session.0, *rung);
             }
         }
-        given.push(held[&id]);
+        given.push(rungs_by_session[&id]);
         harness.start_session(id, 0, ServerId(1));
         if id > stay_s {
             harness.finish_attempt(id - stay_s, 0, ServerId(1), Outcome::Success);
-            held.remove(&(id - stay_s));
+            rungs_by_session.remove(&(id - stay_s));
         }
-        let asked_kb_s: f64 = held.values().map(|rung| ladder[*rung].rate_kb_s).sum();
-        let utilization = asked_kb_s / LINK_KB_S;
+        let requested_kb_s: f64 = rungs_by_session
+            .values()
+            .map(|rung| ladder[*rung].rate_kb_s)
+            .sum();
+        let utilization = requested_kb_s / LINK_KB_S;
         harness.notify(id, ServerId(1), Notification::LinkUtilization(utilization));
     }
     given
@@ -132,38 +135,38 @@
 
 #[test]
 fn returning_viewers_do_not_count_as_new_demand() {
-    let tops = |is_retry| {
+    let count_top_rungs = |is_retry| {
         rungs_on_idle_link(120 * SECOND, 120, is_retry, 40)
             .iter()
             .filter(|r| **r == 4)
             .count()
     };
     assert!(
-        tops(true) > tops(false),
+        count_top_rungs(true) > count_top_rungs(false),
         "{} against {}",
-        tops(true),
-        tops(false)
+        count_top_rungs(true),
+        count_top_rungs(false)
     );
 }
 
 #[test]
 fn wrong_duration_hints_are_corrected_by_observed_durations() {
     // Sessions last 10 s with hints of 100 s. The hints are trusted at first, and corrected once sessions have ended.
-    let sums = |hint, from: usize| {
+    let rung_sum = |hint, from: usize| {
         let rungs = rungs_on_idle_link(hint, 10, false, 120);
         rungs[from..from + 20].iter().sum::<usize>()
     };
     assert!(
-        sums(100 * SECOND, 15) + 3 <= sums(10 * SECOND, 15),
+        rung_sum(100 * SECOND, 15) + 3 <= rung_sum(10 * SECOND, 15),
         "{} {}",
-        sums(100 * SECOND, 15),
-        sums(10 * SECOND, 15)
+        rung_sum(100 * SECOND, 15),
+        rung_sum(10 * SECOND, 15)
     );
     assert!(
-        sums(100 * SECOND, 90) + 10 >= sums(10 * SECOND, 90),
+        rung_sum(100 * SECOND, 90) + 10 >= rung_sum(10 * SECOND, 90),
         "{} {}",
-        sums(100 * SECOND, 90),
-        sums(10 * SECOND, 90)
+        rung_sum(100 * SECOND, 90),
+        rung_sum(10 * SECOND, 90)
     );
 }
 
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn errors_eject_a_server_like_resets_and_notifications_do_not_clear_them() {
+fn errors_eject_a_server_and_notifications_do_not_readmit_it() {
     // A server that fails set-ups at once has the least load, so it attracted every attempt (incident id52cfd).
     let (mut harness, server) = harness_after(Outcome::Error);
     harness.notify(1, server, Notification::LinkUtilization(0.1));
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -130,20 +130,20 @@
     assert_eq!(
         fill(&mut harness, 10..100),
         6,
-        "the migrating session takes two of eight places"
+        "the migrating session counts as two of the eight that fit"
     );
     finish_migration(&mut harness, 1, true);
     assert_eq!(
         fill(&mut harness, 100..200),
         1,
-        "the place at the source is released"
+        "the capacity at the source is released"
     );
     assert_eq!(
         request_migration(&mut harness, 1),
         None,
         "there is no capacity for another migration"
     );
-    // The session now counts at the target, and its end releases the place there.
+    // The session now counts at the target, and its end releases the capacity there.
     harness.finish_attempt(1, 0, ServerId(3 - from.0), Outcome::Success);
     assert_eq!(fill(&mut harness, 200..300), 1);
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -10,7 +10,9 @@
     Request, ServerId, SessionId, TenantSettings,
 };
 
+/// The tenant that requests more than its quota.
 const LOUD: usize = 0;
+/// The tenant that requests sessions later, and gets its quota.
 const QUIET: usize = 1;
 
 /// A director with two tenants with these quotas; all servers have warmed up and their link capacity is known.
@@ -124,7 +126,7 @@
             playing.iter().filter(|(_, _, t)| *t == QUIET).count() as f64 / playing.len() as f64;
         assert!(
             (quiet - quotas[QUIET]).abs() < 0.06,
-            "quota {} came to {quiet}",
+            "quota {}, but a fraction of {quiet} of the sessions",
             quotas[QUIET]
         );
     }
@@ -208,12 +210,12 @@
         assert_eq!(sent.expect("there is capacity") >= 3, fleet == 1, "{id}");
     }
     // With no available server in its fleet, the request is rejected and not sent to another fleet.
-    let gone = |id| Endpoint {
+    let draining = |id| Endpoint {
         fleet: 1,
         state: EndpointState::Draining,
         ..endpoint(id)
     };
-    harness.update_endpoints(EndpointUpdate::Delta, (3..=4).map(gone).collect());
+    harness.update_endpoints(EndpointUpdate::Delta, (3..=4).map(draining).collect());
     let actions = harness.handle(Event::RequestReceived(Request {
         fleet: 1,
         ..viewer_request(100, IDEMPOTENT, harness.now)
--- a/tests/random_events/auditor.rs
+++ b/tests/random_events/auditor.rs
@@ -142,10 +142,10 @@
         let window_start = self.now - rules.overload_window;
         let recent = attempts.iter().filter(|at| **at > window_start).count() as f64;
         let capacity = self.settings.stream_capacity_by_kind[0];
-        // The rate for all directors, doubled to allow for chance.
-        let pace_per_us = rules.overload_factor * rules.initial_capacity * capacity
+        // The rate at which the server fails, doubled to allow for random variation of the admitted requests.
+        let overload_rate_per_us = rules.overload_factor * rules.initial_capacity * capacity
             / rules.warm_up.as_micros() as f64;
-        let max_attempts = 2.0 * pace_per_us * rules.overload_window.as_micros() as f64;
+        let max_attempts = 2.0 * overload_rate_per_us * rules.overload_window.as_micros() as f64;
         assert!(
             recent <= max_attempts.max(1.0),
             "warming server overloaded: {recent} attempts, {max_attempts} allowed"
@@ -154,8 +154,8 @@
 
     fn check_session_limit(&self, class: usize) {
         let session_limit = self.settings.classes[class].session_limit_per_title;
-        let is_held = |seen: &&SeenSession| seen.class == class && seen.server.is_some();
-        let active_sessions = self.sessions.values().filter(is_held).count() as u32;
+        let is_active = |seen: &&SeenSession| seen.class == class && seen.server.is_some();
+        let active_sessions = self.sessions.values().filter(is_active).count() as u32;
         assert!(
             session_limit == 0 || active_sessions <= session_limit,
             "session limit of the title exceeded"
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_at_most_once_attempt_that_never_ran_is_retried_at_another_holder() {
+fn an_at_most_once_attempt_that_never_ran_is_retried_at_another_server() {
     for outcome in [
         Outcome::Rejected,
         Outcome::ConnectionFailed,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_idempotent_attempt_is_retried_after_a_timeout_but_an_at_most_once_one_waits_for_the_viewer() {
+fn an_idempotent_attempt_has_a_timeout_and_an_at_most_once_attempt_waits_until_the_deadline() {
     let mut harness = DirectorHarness::new(settings(), 4);
     let attempt_timeout = |out: &[Action]| {
         out.iter().find_map(|a| match a {
