--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -21,9 +21,9 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Time limit for connecting and sending the position. Together with the frame timeout before, which starts at the last
-/// frame, and the backoff, the next connection delivers its events within the 4 s after which the platform expects a
-/// director to know them.
+/// Time limit for connecting and sending the position. The platform expects a director to know the service's events 4 s
+/// after the last frame of a connection that sends no more. The frame timeout, the backoff and this limit together stay
+/// below that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 const READ_BUFFER_BYTES: usize = 4 * 1024;
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -30,7 +30,7 @@
     #[garde(dive)]
     pub load: Load,
     /// Present if the site's tenants are hosted: directors receive them from the administration API only, with copies
-    /// of the site's classes and with their shares of the director.
+    /// of the site's classes, and each tenant gets its share of every director's capacity.
     #[garde(dive)]
     pub hosted: Option<HostedDay>,
     /// Faults by an arbitrary name.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -137,8 +137,8 @@
     pub overload_factor: f64,
     /// Length of the window over which overload is measured.
     pub overload_window: TimeDelta,
-    /// Longest time for which a director without a subscription may leave the endpoint list unpolled. It is
-    /// assumed to know all changes that are older.
+    /// Longest time for which a director without a subscription may leave the endpoint list unpolled. Such
+    /// a director is assumed to know every change that is older than this.
     pub poll_deadline: TimeDelta,
     /// Budget of retries; `None`: no limit.
     pub retry_budget: Option<RetryBudget>,
--- a/src/policy/downgrades.rs
+++ b/src/policy/downgrades.rs
@@ -17,8 +17,8 @@
 const FULL_DELIVERY_FRACTION: f64 = 0.98;
 /// Delivered fraction of the rate that downgrades for a shortage aim to restore.
 const DELIVERY_TARGET: f64 = 0.97;
-/// Factor on the rate that is still missing when a downgrade is drawn, so that downgrades free too much rather
-/// than too little: a shortage costs more than unused capacity.
+/// Factor on the rate that is still missing when a downgrade is drawn, so that downgrades free too much
+/// rather than too little: a shortage costs more than unused capacity.
 const SHORTAGE_DOWNGRADE_FACTOR: f64 = 2.0;
 /// Shortest time between downgrades for a shortage of one server: the effect must show in its reports first.
 const SHORTAGE_DOWNGRADE_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
@@ -101,8 +101,8 @@
             let sessions: BTreeSet<_> = sessions.map(|(_, id)| *id).collect();
             for session in sessions {
                 // If many directors have one session each at the server and all downgraded it, they would
-                // free several times the missing rate. So a downgrade that frees more than is still missing
-                // is applied only with a probability in proportion to the missing rate.
+                // free several times the missing rate. So a downgrade that frees much more than is still
+                // missing is applied only with a probability in proportion to the missing rate.
                 let seed = self.seed ^ session.0 ^ self.now.as_micros() as u64;
                 if draw(seed) * freed_kb_s < SHORTAGE_DOWNGRADE_FACTOR * missing_kb_s {
                     self.change_rung(session, rung);
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Whether a server may get an attempt of this request: it is ready, was not tried for it, is
-    /// allowed it by its warm-up limit, and is not ejected.
+    /// Whether a server may get an attempt of this request: it is ready, was not tried for it, its
+    /// warm-up limit admits the request, and it is not ejected.
     pub(crate) fn is_available(&self, server: &Server, pending: &PendingRequest) -> bool {
         let is_ready = server.endpoint.state == EndpointState::Ready;
         if !is_ready
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -9,8 +9,7 @@
 use crate::time::TimeDelta;
 
 /// Set-ups that all directors together may send to a warming server, as a fraction of the rate at which it
-/// fails. The rest absorbs random bursts and
-/// deviations of its capacity.
+/// fails. The rest absorbs random bursts and deviations of its capacity.
 const SETUP_RATE_MARGIN: f64 = 0.5;
 /// Lower bound of the assumed fraction of all requests that are for a title, however few servers host it.
 const MIN_TITLE_FRACTION: f64 = 0.02;
--- a/src/state/sessions.rs
+++ b/src/state/sessions.rs
@@ -11,8 +11,8 @@
 /// Marks placeholder ids. Session ids are below this bit.
 const PLACEHOLDER_BIT: u64 = 1 << 52;
 
-/// A request with the attempts sent for it so far. Sending an attempt moves it into the [`ActiveSession`], and
-/// a final answer drops it, so that neither can happen twice.
+/// A request with the attempts sent for it so far. Admission consumes it: the request either moves into the
+/// [`ActiveSession`] of its next attempt, or is rejected and dropped, so that neither can happen twice.
 #[derive(Clone)]
 pub(crate) struct PendingRequest {
     pub request: Request,
