--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,9 +1,9 @@
 //! The membership state machine of one director: SWIM, implemented by `foca`, over sealed datagrams.
 //!
 //! It does no I/O: inputs are passed with the current time; outputs and the next timeout are polled. A director that
-//! is declared down while it runs rejoins by itself under a higher incarnation, so a long pause of its process costs one
-//! round of the protocol. Of two processes with the same name, the one with the higher incarnation is the member; the other
-//! receives [`Output::NameConflict`] and has to exit.
+//! is declared down while it runs rejoins by itself under a higher incarnation, so a long pause of its process costs
+//! one round of the protocol. Of two processes with the same name, the one with the higher incarnation is the member;
+//! the other receives [`Output::NameConflict`] and has to exit.
 
 use crate::datagram::MAX_CONTENT_BYTES;
 use crate::keys::{FleetKey, PeerId};
