--- a/crates/behavior-digest/src/scenes.rs
+++ b/crates/behavior-digest/src/scenes.rs
@@ -5,8 +5,8 @@
 use shalewall_fleet_model::totals::ViewerTotals;
 use shalewall_settings::DayPlan;
 use shalewall_simulation::bounds::Bounds;
-use shalewall_simulation::count::{Count, Span};
 use shalewall_simulation::scenes::all;
+use shalewall_simulation::totals::{IntervalTotals, RunTotals};
 use shalewall_simulation::world::{Policy, Report, run};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -28,7 +28,11 @@
             LONGEST_S
         };
         plan.day.seconds = plan.day.seconds.min(longest);
-        for (seed, policy) in [(0, Policy::Module), (1, Policy::Module), (0, Policy::Plain)] {
+        for (seed, policy) in [
+            (0, Policy::Module),
+            (1, Policy::Module),
+            (0, Policy::Baseline),
+        ] {
             let mut plan = plan.clone();
             plan.day.seed += seed;
             encoder.begin_case(number, plan.day.seed);
@@ -46,53 +50,53 @@
 
 fn encode_report(encoder: &mut Encoder, report: &Report) {
     encoder.begin_output(1);
-    encode_count(encoder, &report.count);
+    encode_totals(encoder, &report.totals);
     encode_bounds(encoder, &report.bounds);
 }
 
-fn encode_count(encoder: &mut Encoder, count: &Count) {
-    encode_tally(encoder, &count.tallies.all);
-    encoder.usize(count.tallies.tenants.len());
-    for tally in count.tallies.tenants.values() {
-        encode_tally(encoder, tally);
+fn encode_totals(encoder: &mut Encoder, totals: &RunTotals) {
+    encode_viewer_totals(encoder, &totals.viewer_totals.all);
+    encoder.usize(totals.viewer_totals.tenants.len());
+    for totals in totals.viewer_totals.tenants.values() {
+        encode_viewer_totals(encoder, totals);
     }
-    encoder.f64(count.stalled);
-    encoder.f64(count.stepped);
-    encoder.u64(count.fell);
-    encoder.usize(count.spans.len());
-    for span in &count.spans {
-        encode_span(encoder, span);
+    encoder.f64(totals.stall_cost);
+    encoder.f64(totals.rung_change_cost);
+    encoder.u64(totals.overloaded_nodes);
+    encoder.usize(totals.intervals.len());
+    for interval in &totals.intervals {
+        encode_interval(encoder, interval);
     }
 }
 
-fn encode_tally(encoder: &mut Encoder, tally: &ViewerTotals) {
+fn encode_viewer_totals(encoder: &mut Encoder, totals: &ViewerTotals) {
     encoder.begin_output(2);
     let counts = [
-        tally.requested,
-        tally.played,
-        tally.rejected,
-        tally.failed,
-        tally.unanswered,
-        tally.broken,
-        tally.viewers,
-        tally.viewers_rejected,
-        tally.viewers_unserved,
-        tally.rung_changes,
+        totals.requested,
+        totals.played,
+        totals.rejected,
+        totals.failed,
+        totals.unanswered,
+        totals.broken,
+        totals.viewers,
+        totals.viewers_rejected,
+        totals.viewers_unserved,
+        totals.rung_changes,
     ];
     counts.into_iter().for_each(|count| encoder.u64(count));
-    encoder.f64(tally.worth_offered);
-    encoder.f64(tally.worth_earned);
-    encode_rungs(encoder, &tally.seconds_by_rung);
+    encoder.f64(totals.worth_offered);
+    encoder.f64(totals.worth_earned);
+    encode_rungs(encoder, &totals.seconds_by_rung);
 }
 
-fn encode_span(encoder: &mut Encoder, span: &Span) {
+fn encode_interval(encoder: &mut Encoder, interval: &IntervalTotals) {
     encoder.begin_output(3);
-    encoder.u64(span.asked);
-    encoder.u64(span.refused);
-    encoder.f64(span.wanted);
-    encoder.f64(span.got);
-    encoder.f64(span.bound);
-    encode_rungs(encoder, &span.rungs);
+    encoder.u64(interval.requested);
+    encoder.u64(interval.rejected);
+    encoder.f64(interval.worth_offered);
+    encoder.f64(interval.worth_earned);
+    encoder.f64(interval.worth_bound);
+    encode_rungs(encoder, &interval.seconds_by_rung);
 }
 
 fn encode_rungs(encoder: &mut Encoder, rungs: &BTreeMap<usize, f64>) {
@@ -105,7 +109,10 @@
 
 fn encode_bounds(encoder: &mut Encoder, bounds: &Bounds) {
     encoder.begin_output(4);
-    encoder.f64(bounds.most);
-    encoder.usize(bounds.at_rung.len());
-    bounds.at_rung.iter().for_each(|worth| encoder.f64(*worth));
+    encoder.f64(bounds.maximum);
+    encoder.usize(bounds.at_constant_rung.len());
+    bounds
+        .at_constant_rung
+        .iter()
+        .for_each(|worth| encoder.f64(*worth));
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,17 +1,18 @@
-//! The lab: engines, fleet and viewers in simulated time.
+//! Discrete-event simulation of engines, fleet and viewers in simulated time.
 //!
-//! [`world`] drives the same engines as sockets do, against the models of `shalewall-fleet-model`; [`plan`] turns a
-//! day's plan into those models, for sockets too; [`bounds`] tells what could have been had; [`plain`] is the
-//! design's textbook form, to compare with; [`scenes`] are days that show one thing.
+//! [`world`] drives the production engines against the models of `shalewall-fleet-model`; [`plan`] converts a day's
+//! plan into those models, for runs over sockets too; [`bounds`] computes upper bounds on the worth of any policy;
+//! [`baseline`] is a simple policy to compare the decision module with; [`scenes`] are days that each test one
+//! situation; [`totals`] are the results of a run.
 //!
-//! Figures from here are simulated. Same plan and seed, same figures.
+//! All results are simulated. The same plan and seed give the same results.
 //!
-//! What this crate may know: engine, models, plans. What it must not: sockets, clocks, and how to decide but
-//! for the baselines.
+//! This crate may depend on the engine, the models and plans. It must not use sockets or clocks, and it must not
+//! contain decision logic except in the baseline.
 
+pub mod baseline;
 pub mod bounds;
-pub mod count;
-pub mod plain;
 pub mod plan;
 pub mod scenes;
+pub mod totals;
 pub mod world;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,50 +1,50 @@
-//! `shalewall-lab`: scenes in simulated time, as a table.
+//! `shalewall-lab`: simulates scenes and prints their results as a table.
 
 use clap::Parser;
 use shalewall_fleet_model::totals::ViewerTotals;
 use shalewall_settings::DayPlan;
 use shalewall_simulation::world::{Policy, Report, run};
-use shalewall_simulation::{count::SPAN, scenes};
+use shalewall_simulation::{scenes, totals::INTERVAL_S};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Runs scenes of a fleet that fills, in simulated time, and prints what came of each.
+/// Simulates scenes of a fleet that starts empty and prints a row of results for each.
 #[derive(Parser)]
 #[command(name = "shalewall-lab", version)]
 struct Cli {
-    /// The plan that scenes are made from.
+    /// The plan from which the scenes are derived.
     #[arg(long, value_name = "FILE", default_value = "days/fill-2.hcl")]
     plan: PathBuf,
-    /// Only scenes whose name begins so.
+    /// Run only scenes whose names start with this; may be repeated.
     #[arg(long, value_name = "NAME")]
     only: Vec<String>,
-    /// Seeds beside the plan's own; figures are means over them.
+    /// Number of seeds to run, from the plan's own upwards; the results are means over them.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// The textbook form in place of the decision module.
+    /// Use the baseline policy in place of the decision module.
     #[arg(long)]
     plain: bool,
-    /// Also what came of each span of ten seconds.
+    /// Also print the results for each interval of ten seconds.
     #[arg(long)]
     spans: bool,
 }
 
-fn print_spans(report: &Report) {
-    for (i, s) in report.count.spans.iter().enumerate() {
-        let all: f64 = s.rungs.values().sum();
+fn print_intervals(report: &Report) {
+    for (i, s) in report.totals.intervals.iter().enumerate() {
+        let all: f64 = s.seconds_by_rung.values().sum();
         let rungs = s
-            .rungs
+            .seconds_by_rung
             .iter()
             .map(|(r, t)| format!("{r}:{:.0}%", t * 100.0 / all.max(1e-9)));
         println!(
             "  {:>5.0} s  asked {:>4}  refused {:>4}  plays {:>6.1}  worth {:.3} of {:.3}  {}",
-            i as f64 * SPAN,
-            s.asked,
-            s.refused,
-            all / SPAN,
-            s.got / s.wanted.max(1e-9),
-            s.bound / s.wanted.max(1e-9),
+            i as f64 * INTERVAL_S,
+            s.requested,
+            s.rejected,
+            all / INTERVAL_S,
+            s.worth_earned / s.worth_offered.max(1e-9),
+            s.worth_bound / s.worth_offered.max(1e-9),
             rungs.collect::<Vec<_>>().join(" ")
         );
     }
@@ -60,7 +60,7 @@
         }
     };
     let policy = if cli.plain {
-        Policy::Plain
+        Policy::Baseline
     } else {
         Policy::Module
     };
@@ -89,22 +89,23 @@
         println!(
             "| {} | {:.0} | {:.1}% | {:.1}% | {:.3} | {:.3} | {:.3} | {:.2} | {:.1} |",
             scene.name,
-            mean(&|r| r.count.tallies.all.requested as f64),
-            mean(&|r| r.count.tallies.all.rejected_fraction()) * 100.0,
-            mean(&|r| r.count.tallies.all.unserved_fraction()) * 100.0,
-            mean(&|r| r.count.tallies.all.worth()),
-            mean(&|r| r.bounds.best_rung().1 / r.count.tallies.all.worth_offered.max(1e-9)),
-            mean(&|r| r.bounds.most / r.count.tallies.all.worth_offered.max(1e-9)),
-            mean(&|r| r.count.tallies.all.rung_changes_per_minute()),
-            mean(&|r| r.count.fell as f64),
+            mean(&|r| r.totals.viewer_totals.all.requested as f64),
+            mean(&|r| r.totals.viewer_totals.all.rejected_fraction()) * 100.0,
+            mean(&|r| r.totals.viewer_totals.all.unserved_fraction()) * 100.0,
+            mean(&|r| r.totals.viewer_totals.all.worth()),
+            mean(&|r| r.bounds.best_rung().1 / r.totals.viewer_totals.all.worth_offered.max(1e-9)),
+            mean(&|r| r.bounds.maximum / r.totals.viewer_totals.all.worth_offered.max(1e-9)),
+            mean(&|r| r.totals.viewer_totals.all.rung_changes_per_minute()),
+            mean(&|r| r.totals.overloaded_nodes as f64),
         );
         for tenant in reports
             .iter()
-            .flat_map(|r| r.count.tallies.tenants.keys())
+            .flat_map(|r| r.totals.viewer_totals.tenants.keys())
             .collect::<BTreeSet<_>>()
         {
-            let of =
-                |f: &dyn Fn(&ViewerTotals) -> f64| mean(&|r| f(&r.count.tallies.tenants[tenant]));
+            let of = |f: &dyn Fn(&ViewerTotals) -> f64| {
+                mean(&|r| f(&r.totals.viewer_totals.tenants[tenant]))
+            };
             println!(
                 "| {}: {tenant} | {:.0} | {:.1}% | {:.1}% | {:.3} | - | - | {:.2} | - |",
                 scene.name,
@@ -116,7 +117,7 @@
             );
         }
         if cli.spans {
-            reports.iter().for_each(print_spans);
+            reports.iter().for_each(print_intervals);
         }
     }
     ExitCode::SUCCESS
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -1,4 +1,4 @@
-//! A day's plan as the models want it: the same for sockets and for simulated time.
+//! Converts a day's plan into the models' parameters, for simulated time and for runs over sockets.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -8,22 +8,22 @@
 use shalewall_settings::{DayPlan, micros_from_millis};
 use std::time::Duration;
 
-fn ms(ms: f64) -> Duration {
-    Duration::from_secs_f64(ms / 1000.0)
+fn duration_from_millis(millis: f64) -> Duration {
+    Duration::from_secs_f64(millis / 1000.0)
 }
 
-/// What all nodes share, and the machines: as told, or spread over zones, kinds and cells in turn. Links and
-/// uplinks stray from what the list says, by the day's seed.
+/// The parameters that all nodes share, and the machines: as configured, or else distributed round-robin over zones,
+/// kinds and cells. Link and uplink rates deviate randomly from the stated ones, by the day's seed.
 pub fn fleet(plan: &DayPlan) -> (FleetParameters, Vec<Machine>) {
     let (site, fleet) = (&plan.site, &plan.fleet);
-    let mut dice = ChaCha8Rng::seed_from_u64(plan.day.seed);
-    let mut stray = |part: f64| 1.0 + part * (2.0 * dice.random::<f64>() - 1.0);
-    let racks = if fleet.uplink_kb_s > 0.0 {
+    let mut rng = ChaCha8Rng::seed_from_u64(plan.day.seed);
+    let mut with_deviation = |fraction: f64| 1.0 + fraction * (2.0 * rng.random::<f64>() - 1.0);
+    let rack_count = if fleet.uplink_kb_s > 0.0 {
         site.layout.rack_count
     } else {
         0
     };
-    let physics = FleetParameters {
+    let parameters = FleetParameters {
         rate_deviation: fleet.rate_deviation,
         setup_time: TimeDelta::from_micros(micros_from_millis(fleet.set_up_ms)),
         report_interval: TimeDelta::from_micros(micros_from_millis(fleet.load_refresh_ms).max(1)),
@@ -34,24 +34,24 @@
         overload_factor: site.rules.overload_factor,
         overload_window: TimeDelta::from_micros(micros_from_millis(site.rules.overload_window_ms)),
         uplinks_kb_s: match &fleet.uplinks_kb_s[..] {
-            [] => (0..racks)
-                .map(|_| fleet.uplink_kb_s * stray(fleet.link_deviation))
+            [] => (0..rack_count)
+                .map(|_| fleet.uplink_kb_s * with_deviation(fleet.link_deviation))
                 .collect(),
-            told => told.to_vec(),
+            configured => configured.to_vec(),
         },
     };
-    let places = |kind: &str| site.kinds.get(kind).map_or(1e6, |k| k.stream_capacity);
+    let stream_capacity = |kind: &str| site.kinds.get(kind).map_or(1e6, |k| k.stream_capacity);
     if !fleet.machines.is_empty() {
-        let told = |(name, m): (&String, &shalewall_settings::Machine)| Machine {
+        let configured = |(name, m): (&String, &shalewall_settings::Machine)| Machine {
             id: name.parse().unwrap_or_default(),
             zone: m.zone.clone(),
             kind: m.kind.clone(),
             cell: m.cell,
             weight: m.weight,
-            stream_capacity: places(&m.kind),
-            link_kb_s: m.link_kb_s * stray(fleet.link_deviation),
+            stream_capacity: stream_capacity(&m.kind),
+            link_kb_s: m.link_kb_s * with_deviation(fleet.link_deviation),
         };
-        return (physics, fleet.machines.iter().map(told).collect());
+        return (parameters, fleet.machines.iter().map(configured).collect());
     }
     let kinds: Vec<&String> = site.kinds.keys().collect();
     let machine = |id: u64| {
@@ -68,25 +68,25 @@
             kind: kind.to_string(),
             cell: id % site.layout.cell_count,
             weight: 1.0,
-            stream_capacity: places(kind),
-            link_kb_s: fleet.link_kb_s * stray(fleet.link_deviation),
+            stream_capacity: stream_capacity(kind),
+            link_kb_s: fleet.link_kb_s * with_deviation(fleet.link_deviation),
         }
     };
     let machines = (0..fleet.node_count).map(machine).collect();
-    (physics, machines)
+    (parameters, machines)
 }
 
-/// Who comes on a day.
-pub fn crowd(plan: &DayPlan) -> ViewerPopulation {
+/// The day's viewer population.
+pub fn population(plan: &DayPlan) -> ViewerPopulation {
     let (site, load) = (&plan.site, &plan.load);
-    let class = |(name, part): (&String, &f64)| {
+    let class = |(name, fraction): (&String, &f64)| {
         let c = &site.classes[name];
         let (shortest, longest) = load.session_length_range(name);
         Class {
             name: name.clone(),
-            fraction: *part,
-            request_timeout: ms(c.deadline_ms),
-            latency_objective: ms(c.latency_objective_ms),
+            fraction: *fraction,
+            request_timeout: duration_from_millis(c.deadline_ms),
+            latency_objective: duration_from_millis(c.latency_objective_ms),
             priority_weight: c.priority_weight,
             highest_rung: c.highest_rung.unwrap_or(site.ladder.len() - 1),
             shortest,
@@ -107,18 +107,19 @@
         hint_factor: load.hint_factor,
         limited_fraction: load.constrained_fraction,
         retry_fraction: load.retry_fraction,
-        retry_pause: ms(load.retry_pause_ms),
+        retry_pause: duration_from_millis(load.retry_pause_ms),
         follow_fraction: load.migratable_fraction,
-        live_buffer: ms(load.live_buffer_ms),
-        recorded_buffer: ms(load.recorded_buffer_ms),
+        live_buffer: duration_from_millis(load.live_buffer_ms),
+        recorded_buffer: duration_from_millis(load.recorded_buffer_ms),
         utility: site.ladder.iter().map(|r| r.utility).collect(),
         stall_penalty: site.costs.stall_penalty,
         rung_change_cost_s: site.costs.rung_change_s,
     }
 }
 
-/// Chance of who comes, one stream for each tenant: a tenant's viewers are the same whoever else comes.
-pub fn arrivals(plan: &DayPlan) -> Vec<ChaCha8Rng> {
+/// Random number generators of arrivals, one for each tenant, so that a tenant's viewers do not depend on the other
+/// tenants.
+pub fn arrival_rngs(plan: &DayPlan) -> Vec<ChaCha8Rng> {
     let seed = |name: &str| {
         name.bytes()
             .fold(plan.day.seed ^ 2, |s, b| s.rotate_left(9) ^ u64::from(b))
--- a/crates/simulation/src/scenes.rs
+++ b/crates/simulation/src/scenes.rs
@@ -1,25 +1,25 @@
-//! Days that show one thing, made from a plan by changing its load and troubles.
+//! Scenes: days that each test one situation, derived from a plan by changing its load and faults.
 
 use shalewall_settings::{DayPlan, Fault, FaultKind, Tenant};
 
-/// A scene: its name, what it shows, and its day.
+/// A scene: its name, the situation that it tests, and its plan.
 pub struct Scene {
     pub name: String,
-    pub shows: &'static str,
+    pub description: &'static str,
     pub plan: DayPlan,
 }
 
-/// Arrivals a second at which the fleet's uplinks carry all viewers at the ladder's middle rung, once a
-/// session's length has passed.
-fn usual(plan: &DayPlan) -> f64 {
+/// The usual load: arrivals a second at which the uplinks, at full utilization, carry all viewers at the ladder's middle
+/// rung in the steady state.
+fn usual_arrivals_per_s(plan: &DayPlan) -> f64 {
     let ladder = &plan.site.ladder;
     let racks = plan.site.layout.rack_count as f64;
     let mean_s = (plan.load.min_length_s + plan.load.max_length_s) / 2.0;
     racks * plan.fleet.uplink_kb_s / ladder[ladder.len() / 2].rate_kb_s / mean_s
 }
 
-/// Sessions of half an hour, and a day of an hour.
-fn long(plan: &mut DayPlan) {
+/// Sets sessions of about half an hour in a day of one hour.
+fn use_long_sessions(plan: &mut DayPlan) {
     (
         plan.load.min_length_s,
         plan.load.max_length_s,
@@ -27,8 +27,8 @@
     ) = (1500.0, 2100.0, 3600.0);
 }
 
-/// A fleet so many times as large, with as many more viewers, under so many directors.
-fn grow(plan: &mut DayPlan, times: u64, directors: u32) {
+/// Multiplies the size of the fleet and the load by `times` and sets the number of directors.
+fn scale_fleet(plan: &mut DayPlan, times: u64, directors: u32) {
     plan.day.directors = directors;
     plan.fleet.node_count *= times;
     plan.site.layout.cell_count *= times;
@@ -41,107 +41,108 @@
     }
 }
 
-/// All scenes, from a plan of a fleet that fills from empty.
+/// All scenes, derived from a plan whose fleet starts empty.
 pub fn all(base: &DayPlan) -> Vec<Scene> {
     let mut scenes = Vec::new();
-    let mut scene = |name: &str, shows: &'static str, change: &dyn Fn(&mut DayPlan)| {
+    let mut add_scene = |name: &str, description: &'static str, change: &dyn Fn(&mut DayPlan)| {
         let mut plan = base.clone();
         plan.day.seconds = 180.0;
-        plan.load.per_s = usual(&plan);
+        plan.load.per_s = usual_arrivals_per_s(&plan);
         change(&mut plan);
         scenes.push(Scene {
             name: name.to_string(),
-            shows,
+            description,
             plan,
         });
     };
     for per_s in [2.0, 3.0] {
-        scene(
+        add_scene(
             &format!("fill-{per_s}"),
-            "an empty start, 100 s, nobody comes again",
+            "an empty start, 100 s, no retries",
             &|p| {
                 (p.day.seconds, p.load.per_s) = (100.0, per_s);
             },
         );
     }
     for times in [0.5, 1.0, 1.5, 2.0] {
-        scene(
+        add_scene(
             &format!("empty-{times}"),
             "an empty start, sessions of 60 to 120 s",
             &|p| p.load.per_s *= times,
         );
-        scene(
+        add_scene(
             &format!("long-{times}"),
             "an empty start, sessions of half an hour",
             &|p| {
-                long(p);
-                p.load.per_s = times * usual(p);
+                use_long_sessions(p);
+                p.load.per_s = times * usual_arrivals_per_s(p);
             },
         );
     }
-    let again = |p: &mut DayPlan| (p.load.retry_fraction, p.load.retry_pause_ms) = (0.9, 1500.0);
-    scene(
+    let enable_retries =
+        |p: &mut DayPlan| (p.load.retry_fraction, p.load.retry_pause_ms) = (0.9, 1500.0);
+    add_scene(
         "half",
-        "half of the nodes die and come back cold after 30 s",
+        "half of the nodes crash and restart cold after 30 s",
         &|p| {
-            again(p);
-            let t = Fault {
+            enable_retries(p);
+            let fault = Fault {
                 fraction: 0.5,
                 ..Fault::new(FaultKind::Crash, 90.0, 30.0)
             };
-            p.faults.insert("half".into(), t);
+            p.faults.insert("half".into(), fault);
         },
     );
-    scene(
+    add_scene(
         "half-long",
-        "the same, sessions of half an hour, back after a minute",
+        "the same with sessions of half an hour and a restart after 60 s",
         &|p| {
-            long(p);
-            again(p);
-            p.load.per_s = usual(p);
-            let t = Fault {
+            use_long_sessions(p);
+            enable_retries(p);
+            p.load.per_s = usual_arrivals_per_s(p);
+            let fault = Fault {
                 fraction: 0.5,
                 ..Fault::new(FaultKind::Crash, 1800.0, 60.0)
             };
-            p.faults.insert("half".into(), t);
+            p.faults.insert("half".into(), fault);
         },
     );
-    scene(
+    add_scene(
         "tripled",
-        "two thirds of the usual load, tripled for good",
+        "two thirds of the usual load, tripled until the end",
         &|p| {
             p.load.per_s *= 2.0 / 3.0;
-            let t = Fault {
+            let fault = Fault {
                 size: 3.0,
                 ..Fault::new(FaultKind::Burst, 90.0, 90.0)
             };
-            p.faults.insert("more".into(), t);
+            p.faults.insert("more".into(), fault);
         },
     );
-    scene("tripled-long", "the same, sessions of half an hour", &|p| {
-        long(p);
-        p.load.per_s = usual(p) * 2.0 / 3.0;
-        let t = Fault {
+    add_scene("tripled-long", "the same, sessions of half an hour", &|p| {
+        use_long_sessions(p);
+        p.load.per_s = usual_arrivals_per_s(p) * 2.0 / 3.0;
+        let fault = Fault {
             size: 3.0,
             ..Fault::new(FaultKind::Burst, 1800.0, 1800.0)
         };
-        p.faults.insert("more".into(), t);
+        p.faults.insert("more".into(), fault);
     });
-    scene(
+    add_scene(
         "falls",
-        "twice the usual load for a while, then a third of it",
+        "twice the usual load for 150 s, then a third of the usual load",
         &|p| {
             (p.day.seconds, p.load.per_s) = (360.0, p.load.per_s / 3.0);
-            let t = Fault {
+            let fault = Fault {
                 size: 6.0,
                 ..Fault::new(FaultKind::Burst, 0.0, 150.0)
             };
-            p.faults.insert("more".into(), t);
+            p.faults.insert("more".into(), fault);
         },
     );
-    scene(
+    add_scene(
         "peeks",
-        "a crowd of ten times the rate whose sessions last 5 s",
+        "ten times the usual rate of additional viewers whose sessions last about 5 s",
         &|p| {
             let mut peek = p.site.classes["room"].clone();
             peek.paid = false;
@@ -149,80 +150,80 @@
             p.load.class_mix.insert("peek".into(), 0.0);
             p.load.length_s_by_class.insert("peek".into(), (4.0, 6.0));
             let name = Some("peek".to_string());
-            let t = Fault {
+            let fault = Fault {
                 size: 10.0,
                 target_name: name,
                 ..Fault::new(FaultKind::ClassFlood, 60.0, 20.0)
             };
-            p.faults.insert("peeks".into(), t);
+            p.faults.insert("peeks".into(), fault);
         },
     );
     for (name, times) in [("hints-10", 10.0), ("hints-0.1", 0.1), ("no-hints", 0.0)] {
-        scene(name, "an empty start with hints that lie, or none", &|p| {
-            p.load.per_s *= 1.5;
-            p.load.hint_factor = times;
-        });
+        add_scene(
+            name,
+            "an empty start with wrong duration hints or none",
+            &|p| {
+                p.load.per_s *= 1.5;
+                p.load.hint_factor = times;
+            },
+        );
     }
-    scene(
-        "flood",
-        "one class floods at three times the usual rate",
-        &|p| {
-            let name = Some("report".to_string());
-            let t = Fault {
-                size: 3.0,
-                target_name: name,
-                ..Fault::new(FaultKind::ClassFlood, 60.0, 60.0)
-            };
-            p.faults.insert("flood".into(), t);
-        },
-    );
-    scene("hot", "half of all viewers come for one title", &|p| {
+    add_scene("flood", "one class adds three times the usual rate", &|p| {
+        let name = Some("report".to_string());
+        let fault = Fault {
+            size: 3.0,
+            target_name: name,
+            ..Fault::new(FaultKind::ClassFlood, 60.0, 60.0)
+        };
+        p.faults.insert("flood".into(), fault);
+    });
+    add_scene("hot", "half of all viewers request one title", &|p| {
         (p.load.per_s, p.load.skew) = (p.load.per_s * 0.5, 0.0);
         let name = Some("garden".to_string());
-        let t = Fault {
+        let fault = Fault {
             size: 1.0,
             target_name: name,
             ..Fault::new(FaultKind::HotTitle, 0.0, 180.0)
         };
-        p.faults.insert("hot".into(), t);
+        p.faults.insert("hot".into(), fault);
     });
-    scene(
+    add_scene(
         "at-once",
-        "four times the load; those turned away come again at once",
+        "four times the usual load; rejected viewers retry after a short delay",
         &|p| {
             p.load.per_s *= 4.0;
             (p.load.retry_fraction, p.load.retry_pause_ms) = (1.0, 200.0);
             p.site.limits.max_retry_after_ms = 400.0;
         },
     );
-    scene(
+    add_scene(
         "directors",
-        "a director of three is lost for a minute",
+        "one of three directors is down for 60 s",
         &|p| {
-            again(p);
-            let t = Fault {
+            enable_retries(p);
+            let fault = Fault {
                 targets: Some(vec![1]),
                 ..Fault::new(FaultKind::DirectorKill, 60.0, 60.0)
             };
-            p.faults.insert("lost".into(), t);
+            p.faults.insert("lost".into(), fault);
         },
     );
-    scene(
+    add_scene(
         "swing",
-        "load from none to twice the usual and back, as long as a session",
+        "load alternates between a tenth of the usual and twice the usual every 45 s",
         &|p| {
             (p.day.seconds, p.load.per_s) = (450.0, p.load.per_s * 0.1);
             for i in 0..5 {
-                let t = Fault {
+                let fault = Fault {
                     size: 20.0,
                     ..Fault::new(FaultKind::Burst, 90.0 * f64::from(i), 45.0)
                 };
-                p.faults.insert(format!("swing {i}"), t);
+                p.faults.insert(format!("swing {i}"), fault);
             }
         },
     );
-    // Neighbours: a quiet tenant at two thirds of what its share carries at the top rungs, and one at ten times
-    // its own, each alone and beside the other.
+    // Isolation of tenants: a quiet one whose load is two thirds of what its share carries at the top rungs, and a loud
+    // one at ten times its own share, each alone and both together, with and without shares.
     for (name, quiet, loud, share) in [
         ("quiet-alone", 0.1, 0.0, 1.0),
         ("quiet-beside", 0.1, 5.0, 1.0),
@@ -230,8 +231,8 @@
         ("loud-alone", 0.0, 5.0, 1.0),
         ("loud-shareless", 0.0, 5.0, 0.0),
     ] {
-        scene(name, "two tenants with half of the fleet each", &|p| {
-            again(p);
+        add_scene(name, "two tenants with half of the fleet each", &|p| {
+            enable_retries(p);
             for (tenant, times) in [("quiet", quiet), ("loud", loud)] {
                 p.site.tenants.insert(
                     tenant.into(),
@@ -246,26 +247,26 @@
             }
         });
     }
-    scene(
+    add_scene(
         "large-1",
         "an empty start: 100 directors, 150 nodes",
-        &|p| grow(p, 10, 100),
+        &|p| scale_fleet(p, 10, 100),
     );
-    scene("large-2", "the same at twice the usual load", &|p| {
-        grow(p, 10, 100);
+    add_scene("large-2", "the same at twice the usual load", &|p| {
+        scale_fleet(p, 10, 100);
         p.load.per_s *= 2.0;
     });
-    scene(
+    add_scene(
         "large-tripled",
-        "100 directors, two thirds of the usual load, tripled for good",
+        "100 directors, two thirds of the usual load, tripled until the end",
         &|p| {
-            grow(p, 10, 100);
+            scale_fleet(p, 10, 100);
             p.load.per_s *= 2.0 / 3.0;
-            let t = Fault {
+            let fault = Fault {
                 size: 3.0,
                 ..Fault::new(FaultKind::Burst, 90.0, 90.0)
             };
-            p.faults.insert("more".into(), t);
+            p.faults.insert("more".into(), fault);
         },
     );
     scenes
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,12 +1,12 @@
-//! One run: engines, nodes and viewers in one loop of simulated time.
+//! Runs engines, nodes and viewers in one discrete-event loop.
 
-mod troubles;
+mod faults;
 mod viewers;
 
-use crate::bounds::{Bounds, Wanting};
-use crate::count::Count;
-use crate::plain::Plain;
+use crate::baseline::BaselinePolicy;
+use crate::bounds::{Bounds, Demand};
 use crate::plan;
+use crate::totals::RunTotals;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -26,119 +26,139 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// One way between a front and a node, and between a viewer and a front.
-const NET: Micros = 500;
-/// Nodes are looked at so often.
-const LOOK: Micros = 100_000;
-/// A node ends what a front holds there when the front has been away for so long.
-const LEASE: Micros = 6_000_000;
-/// Under this share for a while, viewers begin to leave: so many of them for each look.
-const POOR: f64 = 0.75;
-const LEAVES: f64 = 0.02;
-const POOR_AFTER: Micros = 3_000_000;
-
-/// Who decides.
+/// One-way delay between a director and a node.
+const NETWORK_DELAY: Micros = 500;
+/// Time between two samples of the fleet.
+const OBSERVATION_INTERVAL: Micros = 100_000;
+/// Time after which the nodes end a killed director's sessions, unless it has restarted by then.
+const DIRECTOR_LEASE: Micros = 6_000_000;
+/// Below this fraction of delivered media, viewers may abandon their sessions.
+const LOW_DELIVERY_FRACTION: f64 = 0.75;
+/// Probability that such a viewer abandons its session, for each observation.
+const ABANDONMENT_PROBABILITY: f64 = 0.02;
+/// Age of a session before which its viewer does not abandon it.
+const ABANDONMENT_DELAY: Micros = 3_000_000;
+
+/// The policy that places sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     /// The decision module.
     Module,
-    /// D(C0) as in the paper, with one lower rung.
-    Plain,
+    /// The simple policy of [`crate::baseline`].
+    Baseline,
 }
 
-/// What came of a run, and what could have come of it.
+/// Totals of a run and the upper bounds on its worth.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    pub count: Count,
+    pub totals: RunTotals,
     pub bounds: Bounds,
 }
 
-/// What is due at some time.
-enum Due {
-    /// The next viewer of a stream of arrivals.
-    Arrive(usize),
-    /// A viewer asks; how often it asked before.
-    Ask(usize),
-    /// A viewer's time is over.
-    Gone(usize),
-    /// A session's viewer is through, or gives up.
-    Leave(u64, bool),
-    Reach(usize, CallId),
-    /// A set-up is over at its node.
-    Begin(usize, CallId),
-    Reply(usize, CallId, CallResult),
-    Tell(usize, Input),
-    Look,
-    Begins(usize),
-    Ends(usize, Vec<u64>),
-    /// What a killed front held is ended where it plays.
-    Lapse(u32),
+/// An event that is queued for a time.
+///
+/// Directors, viewers, arrival streams and faults are given by their index.
+enum ScheduledEvent {
+    /// The next viewer of an arrival stream.
+    ViewerArrives(usize),
+    /// A viewer sends a request for a session.
+    SendRequest(usize),
+    /// A viewer's watch time ends, whether it plays or not.
+    ViewerDeparts(usize),
+    /// A viewer ends its session; true if it abandons the session early.
+    StopWatching(u64, bool),
+    /// A call arrives at its node.
+    DeliverCall(usize, CallId),
+    /// A node finishes a set-up.
+    FinishSetup(usize, CallId),
+    /// A call's result arrives at its director.
+    DeliverReply(usize, CallId, CallResult),
+    DeliverInput(usize, Input),
+    /// Nodes and sessions are sampled.
+    Observe,
+    FaultBegins(usize),
+    /// A fault ends for the nodes or directors that it affected.
+    FaultEnds(usize, Vec<u64>),
+    /// The nodes end a killed director's sessions.
+    DirectorLeaseExpires(u32),
 }
 
-/// A call that is out.
-struct Call {
+/// A call without a result yet.
+struct PendingCall {
     server: u64,
     kind: CallKind,
-    /// Being set up at its node.
+    /// The node has accepted the set-up and not finished it.
     setting_up: bool,
 }
 
+/// A viewer from its arrival on.
 struct Viewer {
-    person: DrawnViewer,
+    profile: DrawnViewer,
     tenant: Option<String>,
-    until: Micros,
-    front: usize,
-    asks: u64,
-    refused: bool,
-    played: bool,
+    /// End of its watch time.
+    departs_at: Micros,
+    /// Index of the director that gets its next request.
+    director: usize,
+    requests_sent: u64,
+    was_rejected: bool,
+    has_played: bool,
 }
 
-/// A session that plays, and its viewer's part of it.
-struct Shown {
+/// A session that its viewer is watching.
+struct PlayingSession {
     viewer: usize,
     node: u64,
-    run: AttemptId,
-    since: Micros,
+    attempt_id: AttemptId,
+    started_at: Micros,
 }
 
+/// The state of a run.
 pub struct World<'p> {
     plan: &'p DayPlan,
     policy: Policy,
-    crowd: ViewerPopulation,
-    /// The crowd's classes by their numbers in the settings.
+    population: ViewerPopulation,
+    /// For each class of the population its index in the settings.
     classes: Vec<usize>,
     settings: Settings,
     fleet: Fleet,
-    teller: Notifier,
-    /// Who comes when, the same whoever decides; and all else that chance decides.
-    arrivals: Vec<ChaCha8Rng>,
-    dice: ChaCha8Rng,
+    notifier: Notifier,
+    /// Generators of arrivals, one for each stream. They are used for nothing else, so that arrivals do not depend on
+    /// the policy.
+    arrival_rngs: Vec<ChaCha8Rng>,
+    /// Generator of all other random choices.
+    rng: ChaCha8Rng,
     now: Micros,
-    queue: BTreeMap<(Micros, u64), Due>,
-    queued: u64,
+    /// By time and order of insertion.
+    queue: BTreeMap<(Micros, u64), ScheduledEvent>,
+    /// Number of events queued so far.
+    event_count: u64,
+    /// By director, absent while it is killed.
     engines: Vec<Option<Engine>>,
-    starts: u16,
-    rings: Vec<Option<Micros>>,
+    next_incarnation: u16,
+    /// Each engine's next timeout, which is also in `timers`.
+    timer_deadlines: Vec<Option<Micros>>,
     timers: BTreeSet<(Micros, usize)>,
-    calls: BTreeMap<(usize, CallId), Call>,
+    calls: BTreeMap<(usize, CallId), PendingCall>,
     viewers: Vec<Viewer>,
-    asks: BTreeMap<u64, usize>,
-    next_ask: u64,
-    /// Where a session's set-up began to play.
-    began: BTreeMap<u64, (u64, AttemptId)>,
-    shown: BTreeMap<u64, Shown>,
-    wanting: Wanting,
-    /// How many times the usual rate viewers come, all and each tenant's.
-    burst: f64,
-    bursts: BTreeMap<String, f64>,
-    extra: Option<(Interest, f64)>,
-    troubles: Vec<Fault>,
-    listed: BTreeMap<u64, EndpointEntry>,
+    /// Viewers of unanswered requests, by request.
+    pending_requests: BTreeMap<u64, usize>,
+    next_request_id: u64,
+    /// Node and attempt of sessions whose set-up succeeded and whose viewer has no answer yet.
+    completed_setups: BTreeMap<u64, (u64, AttemptId)>,
+    playing_sessions: BTreeMap<u64, PlayingSession>,
+    demand: Demand,
+    /// Factors on the usual arrival rate, of all viewers and of single tenants.
+    arrival_factor: f64,
+    tenant_arrival_factors: BTreeMap<String, f64>,
+    /// Additional arrivals with one interest, as a multiple of the usual rate.
+    extra_arrivals: Option<(Interest, f64)>,
+    faults: Vec<Fault>,
+    endpoint_list: BTreeMap<u64, EndpointEntry>,
     result: Report,
 }
 
-/// Kinds of trouble that can be played here.
-const PLAYED: [FaultKind; 7] = [
+/// Kinds of fault that can be simulated.
+const SUPPORTED_FAULTS: [FaultKind; 7] = [
     FaultKind::Crash,
     FaultKind::Burst,
     FaultKind::TenantBurst,
@@ -148,13 +168,13 @@
     FaultKind::DirectorKill,
 ];
 
-/// Runs a day's plan. A trouble that can't be played here is an error, not left out.
+/// Simulates a day's plan. A fault whose kind cannot be simulated is an error.
 pub fn run(plan: &DayPlan, policy: Policy) -> Result<Report, String> {
-    for (name, t) in &plan.faults {
-        if !PLAYED.contains(&t.kind) {
+    for (name, fault) in &plan.faults {
+        if !SUPPORTED_FAULTS.contains(&fault.kind) {
             return Err(format!(
                 "trouble '{name}': {:?} can't be played in simulated time yet",
-                t.kind
+                fault.kind
             ));
         }
     }
@@ -166,31 +186,34 @@
             break;
         }
         match timer {
-            Some((t, d)) if t <= at => {
+            Some((t, director)) if t <= at => {
                 world.now = t;
-                world.turn(d, |e, now| e.handle_timeout(Timestamp::from_micros(now)));
+                world.run_engine(director, |e, now| {
+                    e.handle_timeout(Timestamp::from_micros(now))
+                });
             }
             _ => {
                 world.now = at;
-                let due = world
+                let event = world
                     .queue
                     .remove(&(at, world.queue.first_key_value().map_or(0, |(k, _)| k.1)));
-                due.into_iter().for_each(|due| world.carry_out(due));
+                event.into_iter().for_each(|event| world.dispatch(event));
             }
         }
     }
-    world.result.count.fell = world.fleet.nodes.values().filter(|n| n.fell_over).count() as u64;
+    world.result.totals.overloaded_nodes =
+        world.fleet.nodes.values().filter(|n| n.fell_over).count() as u64;
     Ok(world.result)
 }
 
 impl<'p> World<'p> {
     fn new(plan: &'p DayPlan, policy: Policy) -> World<'p> {
-        let (physics, machines) = plan::fleet(plan);
+        let (parameters, machines) = plan::fleet(plan);
         let seed = plan.day.seed;
         let directors = plan.day.directors as usize;
-        let notes = &plan.site.notifications;
-        let crowd = plan::crowd(plan);
-        let known = |c: &Class| {
+        let notifications = &plan.site.notifications;
+        let population = plan::population(plan);
+        let class_number = |c: &Class| {
             plan.site
                 .classes
                 .keys()
@@ -200,62 +223,64 @@
         let mut world = World {
             plan,
             policy,
-            classes: crowd.classes.iter().map(known).collect(),
-            settings: plan.site.settings(&front(plan, 0)),
-            crowd,
-            fleet: Fleet::new(physics, seed ^ 1),
-            teller: Notifier::new(
-                TimeDelta::from_micros(micros_from_millis(notes.interval_ms)),
-                TimeDelta::from_micros(micros_from_millis(notes.delay_ms)),
+            classes: population.classes.iter().map(class_number).collect(),
+            settings: plan.site.settings(&director_settings(plan, 0)),
+            population,
+            fleet: Fleet::new(parameters, seed ^ 1),
+            notifier: Notifier::new(
+                TimeDelta::from_micros(micros_from_millis(notifications.interval_ms)),
+                TimeDelta::from_micros(micros_from_millis(notifications.delay_ms)),
             ),
-            arrivals: plan::arrivals(plan),
-            dice: ChaCha8Rng::seed_from_u64(seed ^ 3),
+            arrival_rngs: plan::arrival_rngs(plan),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ 3),
             now: 0,
             queue: BTreeMap::new(),
-            queued: 0,
+            event_count: 0,
             engines: (0..directors).map(|_| None).collect(),
-            starts: 0,
-            rings: vec![None; directors],
+            next_incarnation: 0,
+            timer_deadlines: vec![None; directors],
             timers: BTreeSet::new(),
             calls: BTreeMap::new(),
             viewers: Vec::new(),
-            asks: BTreeMap::new(),
-            next_ask: 0,
-            began: BTreeMap::new(),
-            shown: BTreeMap::new(),
-            wanting: Wanting::new(),
-            burst: 1.0,
-            bursts: BTreeMap::new(),
-            extra: None,
-            troubles: plan.faults.values().cloned().collect(),
-            listed: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
+            next_request_id: 0,
+            completed_setups: BTreeMap::new(),
+            playing_sessions: BTreeMap::new(),
+            demand: Demand::new(),
+            arrival_factor: 1.0,
+            tenant_arrival_factors: BTreeMap::new(),
+            extra_arrivals: None,
+            faults: plan.faults.values().cloned().collect(),
+            endpoint_list: BTreeMap::new(),
             result: Report {
-                count: Count::default(),
+                totals: RunTotals::default(),
                 bounds: Bounds::default(),
             },
         };
         for machine in machines {
-            world
-                .listed
-                .insert(machine.id, line(&machine, EndpointState::Ready, None));
+            world.endpoint_list.insert(
+                machine.id,
+                endpoint_entry(&machine, EndpointState::Ready, None),
+            );
             world.fleet.start(machine, Timestamp::from_micros(0), true);
         }
-        (0..directors).for_each(|d| world.start(d));
-        world.later(0, Due::Look);
-        (0..world.arrivals.len()).for_each(|stream| world.later(0, Due::Arrive(stream)));
-        for i in 0..world.troubles.len() {
-            world.later(
-                micros_from_millis(world.troubles[i].start_s * 1000.0),
-                Due::Begins(i),
+        (0..directors).for_each(|director| world.start_director(director));
+        world.schedule_after(0, ScheduledEvent::Observe);
+        (0..world.arrival_rngs.len())
+            .for_each(|stream| world.schedule_after(0, ScheduledEvent::ViewerArrives(stream)));
+        for i in 0..world.faults.len() {
+            world.schedule_after(
+                micros_from_millis(world.faults[i].start_s * 1000.0),
+                ScheduledEvent::FaultBegins(i),
             );
         }
         world
     }
 
-    fn later(&mut self, after: Micros, due: Due) {
-        self.queued += 1;
+    fn schedule_after(&mut self, after: Micros, event: ScheduledEvent) {
+        self.event_count += 1;
         self.queue
-            .insert((self.now + after.max(0), self.queued), due);
+            .insert((self.now + after.max(0), self.event_count), event);
     }
 
     fn seconds(&self) -> f64 {
@@ -264,31 +289,31 @@
 
     // ---- engines ----------------------------------------------------------------------------
 
-    fn start(&mut self, d: usize) {
-        let front = front(self.plan, d as u32);
-        let config = self.plan.site.config(&front, self.starts);
-        self.starts += 1;
+    fn start_director(&mut self, director: usize) {
+        let settings = director_settings(self.plan, director as u32);
+        let config = self.plan.site.config(&settings, self.next_incarnation);
+        self.next_incarnation += 1;
         let engine = match self.policy {
             Policy::Module => Engine::new(config, Timestamp::from_micros(self.now)),
-            Policy::Plain => {
-                let plain = Box::new(Plain::new(config.settings.clone()));
-                Engine::with_policy(config, plain, Timestamp::from_micros(self.now))
+            Policy::Baseline => {
+                let policy = Box::new(BaselinePolicy::new(config.settings.clone()));
+                Engine::with_policy(config, policy, Timestamp::from_micros(self.now))
             }
         };
-        self.engines[d] = Some(engine);
-        let lines = self.listed.values().cloned().collect();
-        self.tell(
-            d,
+        self.engines[director] = Some(engine);
+        let entries = self.endpoint_list.values().cloned().collect();
+        self.deliver_input(
+            director,
             Input::EndpointsUpdated {
                 update: EndpointUpdate::Full,
-                endpoints: lines,
+                endpoints: entries,
             },
         );
         for (node, n) in &self.fleet.nodes {
             let held: Vec<_> = n
                 .playing
                 .iter()
-                .filter(|(_, p)| p.director == d as u32)
+                .filter(|(_, p)| p.director == director as u32)
                 .collect();
             if !held.is_empty() {
                 let held = held
@@ -298,94 +323,101 @@
                         attempt: id.attempt,
                     })
                     .collect();
-                let up = Input::NodeConnected {
+                let input = Input::NodeConnected {
                     server: ServerId(*node),
                     requested_at: Timestamp::from_micros(self.now),
                     held,
                 };
-                self.queued += 1;
-                self.queue
-                    .insert((self.now + NET, self.queued), Due::Tell(d, up));
+                self.event_count += 1;
+                self.queue.insert(
+                    (self.now + NETWORK_DELAY, self.event_count),
+                    ScheduledEvent::DeliverInput(director, input),
+                );
             }
         }
     }
 
-    fn kill(&mut self, d: usize) {
-        self.engines[d] = None;
-        self.ring(d);
+    fn kill_director(&mut self, director: usize) {
+        self.engines[director] = None;
+        self.update_timer(director);
         let calls: Vec<_> = self
             .calls
             .keys()
-            .filter(|(of, _)| *of == d)
+            .filter(|(owner, _)| *owner == director)
             .copied()
             .collect();
         calls
             .into_iter()
-            .for_each(|(of, call)| self.drop_call(of, call));
-        let asks: Vec<u64> = self.asks.keys().copied().collect();
-        for ask in asks {
-            if self.viewers[self.asks[&ask]].front == d {
-                let Some(viewer) = self.asks.remove(&ask) else {
+            .for_each(|(owner, call)| self.drop_call(owner, call));
+        let pending_requests: Vec<u64> = self.pending_requests.keys().copied().collect();
+        for request_id in pending_requests {
+            if self.viewers[self.pending_requests[&request_id]].director == director {
+                let Some(viewer) = self.pending_requests.remove(&request_id) else {
                     continue;
                 };
-                self.tally(viewer, |t| t.unanswered += 1);
-                self.again(viewer, None);
+                self.update_viewer_totals(viewer, |t| t.unanswered += 1);
+                self.schedule_retry(viewer, None);
             }
         }
-        self.later(LEASE, Due::Lapse(d as u32));
+        self.schedule_after(
+            DIRECTOR_LEASE,
+            ScheduledEvent::DirectorLeaseExpires(director as u32),
+        );
     }
 
-    fn tell(&mut self, d: usize, input: Input) {
-        self.turn(d, |e, now| e.handle(Timestamp::from_micros(now), input));
+    fn deliver_input(&mut self, director: usize, input: Input) {
+        self.run_engine(director, |e, now| {
+            e.handle(Timestamp::from_micros(now), input)
+        });
     }
 
-    fn turn(&mut self, d: usize, work: impl FnOnce(&mut Engine, Micros)) {
+    fn run_engine(&mut self, director: usize, work: impl FnOnce(&mut Engine, Micros)) {
         let now = self.now;
-        if let Some(engine) = &mut self.engines[d] {
+        if let Some(engine) = &mut self.engines[director] {
             work(engine, now);
         }
-        while let Some(output) = self.engines[d].as_mut().and_then(Engine::poll_output) {
-            self.on_output(d, output);
+        while let Some(output) = self.engines[director]
+            .as_mut()
+            .and_then(Engine::poll_output)
+        {
+            self.on_output(director, output);
         }
-        self.ring(d);
+        self.update_timer(director);
     }
 
-    fn ring(&mut self, d: usize) {
-        let next = self.engines[d]
+    fn update_timer(&mut self, director: usize) {
+        let next = self.engines[director]
             .as_ref()
             .and_then(Engine::poll_timeout)
             .map(|t| t.max(Timestamp::from_micros(self.now)));
-        if self.rings[d] != next.map(Timestamp::as_micros) {
-            self.rings[d].into_iter().for_each(|t| {
-                self.timers.remove(&(t, d));
+        if self.timer_deadlines[director] != next.map(Timestamp::as_micros) {
+            self.timer_deadlines[director].into_iter().for_each(|t| {
+                self.timers.remove(&(t, director));
             });
             next.into_iter().for_each(|t| {
-                self.timers.insert((t.as_micros(), d));
+                self.timers.insert((t.as_micros(), director));
             });
-            self.rings[d] = next.map(Timestamp::as_micros);
+            self.timer_deadlines[director] = next.map(Timestamp::as_micros);
         }
     }
 
-    fn on_output(&mut self, d: usize, output: Output) {
+    fn on_output(&mut self, director: usize, output: Output) {
         match output {
-            Output::Answer {
-                request_id: ask,
-                answer,
-            } => self.on_answer(ask.0, answer),
+            Output::Answer { request_id, answer } => self.on_answer(request_id.0, answer),
             Output::Call {
                 call, server, kind, ..
             } => {
                 self.calls.insert(
-                    (d, call),
-                    Call {
+                    (director, call),
+                    PendingCall {
                         server: server.0,
                         kind,
                         setting_up: false,
                     },
                 );
-                self.later(NET, Due::Reach(d, call));
+                self.schedule_after(NETWORK_DELAY, ScheduledEvent::DeliverCall(director, call));
             }
-            Output::CancelCall { call } => self.drop_call(d, call),
+            Output::CancelCall { call } => self.drop_call(director, call),
             Output::WatchNode { .. }
             | Output::UnwatchNode { .. }
             | Output::CloseIdleConnections { .. } => {}
@@ -398,15 +430,15 @@
 
     // ---- calls ------------------------------------------------------------------------------
 
-    fn drop_call(&mut self, d: usize, call: CallId) {
-        if let Some(out) = self.calls.remove(&(d, call))
-            && out.setting_up
+    fn drop_call(&mut self, director: usize, call: CallId) {
+        if let Some(pending) = self.calls.remove(&(director, call))
+            && pending.setting_up
         {
-            self.fleet.abandon_setup(out.server);
+            self.fleet.abandon_setup(pending.server);
         }
     }
 
-    fn load(&self, node: u64) -> LoadReport {
+    fn load_report(&self, node: u64) -> LoadReport {
         let f = self.fleet.reported_load(node);
         LoadReport {
             streams: Some(f.streams as f64),
@@ -415,20 +447,22 @@
         }
     }
 
-    fn reply(&mut self, d: usize, call: CallId, node: u64, status: u16, never_ran: bool) {
+    fn reply(&mut self, director: usize, call: CallId, node: u64, status: u16, not_started: bool) {
         let media = (status == 201).then(String::new);
-        let done = CallResult::Answered {
+        let result = CallResult::Answered {
             status,
-            not_started: never_ran,
-            load_report: self.load(node),
+            not_started,
+            load_report: self.load_report(node),
             media,
         };
-        self.later(NET, Due::Reply(d, call, done));
+        self.schedule_after(
+            NETWORK_DELAY,
+            ScheduledEvent::DeliverReply(director, call, result),
+        );
     }
 
-    /// A call reaches its node.
-    fn reach(&mut self, d: usize, call: CallId) {
-        let Some(Call { server, kind, .. }) = self.calls.get(&(d, call)) else {
+    fn deliver_call(&mut self, director: usize, call: CallId) {
+        let Some(PendingCall { server, kind, .. }) = self.calls.get(&(director, call)) else {
             return;
         };
         let (node, kind) = (*server, kind.clone());
@@ -438,9 +472,13 @@
             .get(&node)
             .is_none_or(|n| n.process == ProcessState::Down)
         {
-            return self.later(
-                NET,
-                Due::Reply(d, call, CallResult::NotStarted("refused".into())),
+            return self.schedule_after(
+                NETWORK_DELAY,
+                ScheduledEvent::DeliverReply(
+                    director,
+                    call,
+                    CallResult::NotStarted("refused".into()),
+                ),
             );
         }
         match kind {
@@ -456,14 +494,17 @@
             ) {
                 SetupDecision::Accepted(time) => {
                     self.calls
-                        .get_mut(&(d, call))
+                        .get_mut(&(director, call))
                         .into_iter()
                         .for_each(|c| c.setting_up = true);
-                    self.later(time.as_micros(), Due::Begin(d, call));
+                    self.schedule_after(
+                        time.as_micros(),
+                        ScheduledEvent::FinishSetup(director, call),
+                    );
                 }
-                SetupDecision::Rejected => self.reply(d, call, node, 503, true),
-                SetupDecision::Cancelled => self.reply(d, call, node, 410, true),
-                SetupDecision::Overloaded => self.down(node),
+                SetupDecision::Rejected => self.reply(director, call, node, 503, true),
+                SetupDecision::Cancelled => self.reply(director, call, node, 410, true),
+                SetupDecision::Overloaded => self.crash_node(node),
             },
             CallKind::SetRung {
                 session,
@@ -471,58 +512,61 @@
                 rung,
                 rate_kb_s: kb,
             } => {
-                let run = AttemptId {
+                let attempt_id = AttemptId {
                     session: session.0,
                     attempt,
                 };
-                let before = self.fleet.nodes[&node].playing.get(&run).map(|p| p.rung);
-                let known = self.fleet.set_rung(node, run, rung, kb);
-                if let Some(shown) = self
-                    .shown
+                let before = self.fleet.nodes[&node]
+                    .playing
+                    .get(&attempt_id)
+                    .map(|p| p.rung);
+                let found = self.fleet.set_rung(node, attempt_id, rung, kb);
+                if let Some(playing_session) = self
+                    .playing_sessions
                     .get(&session.0)
                     .filter(|_| before.is_some_and(|r| r != rung))
                 {
-                    let viewer = shown.viewer;
-                    let class = self.viewers[viewer].person.class;
-                    let cost =
-                        self.crowd.rung_change_cost_s * self.crowd.classes[class].priority_weight;
-                    self.result.count.stepped += cost;
-                    self.tally(viewer, |t| {
+                    let viewer = playing_session.viewer;
+                    let class = self.viewers[viewer].profile.class;
+                    let cost = self.population.rung_change_cost_s
+                        * self.population.classes[class].priority_weight;
+                    self.result.totals.rung_change_cost += cost;
+                    self.update_viewer_totals(viewer, |t| {
                         (t.rung_changes, t.worth_earned) =
                             (t.rung_changes + 1, t.worth_earned - cost)
                     });
                     let at = self.seconds();
-                    self.result.count.span(at).got -= cost;
+                    self.result.totals.interval(at).worth_earned -= cost;
                 }
-                self.reply(d, call, node, if known { 204 } else { 404 }, false);
+                self.reply(director, call, node, if found { 204 } else { 404 }, false);
             }
             CallKind::EndSession {
                 session, attempt, ..
             } => {
-                let played = self.fleet.end_session(
+                let ended = self.fleet.end_session(
                     node,
                     AttemptId {
                         session: session.0,
                         attempt,
                     },
                 );
-                self.hide(session.0, true);
-                self.reply(d, call, node, if played { 204 } else { 404 }, false);
+                self.finish_session(session.0, true);
+                self.reply(director, call, node, if ended { 204 } else { 404 }, false);
             }
-            CallKind::CheckHealth => self.reply(d, call, node, 204, false),
-            // Nobody follows here, so nothing is handed over.
+            CallKind::CheckHealth => self.reply(director, call, node, 204, false),
+            // Viewers here cannot migrate, so no migration is ever prepared.
             CallKind::PrepareMigration { .. } | CallKind::CancelMigration { .. } => {
-                self.reply(d, call, node, 404, false)
+                self.reply(director, call, node, 404, false)
             }
         }
     }
 
-    fn begin(&mut self, d: usize, call: CallId) {
-        let Some(out) = self.calls.get_mut(&(d, call)) else {
+    fn finish_setup(&mut self, director: usize, call: CallId) {
+        let Some(pending) = self.calls.get_mut(&(director, call)) else {
             return;
         };
-        out.setting_up = false;
-        let node = out.server;
+        pending.setting_up = false;
+        let node = pending.server;
         let CallKind::SetUpSession {
             session,
             attempt,
@@ -531,16 +575,16 @@
             rung,
             rate_kb_s: kb,
             ..
-        } = out.kind.clone()
+        } = pending.kind.clone()
         else {
             return;
         };
-        let run = AttemptId {
+        let attempt_id = AttemptId {
             session: session.0,
             attempt,
         };
         let playing = ActiveSession {
-            director: d as u32,
+            director: director as u32,
             viewer: 0,
             tenant: None,
             class,
@@ -549,18 +593,19 @@
             rate_kb_s: kb,
             true_rate_kb_s: kb,
         };
-        if self.fleet.complete_setup(node, run, playing) {
-            self.began.insert(session.0, (node, run));
-            self.reply(d, call, node, 201, false);
+        if self.fleet.complete_setup(node, attempt_id, playing) {
+            self.completed_setups.insert(session.0, (node, attempt_id));
+            self.reply(director, call, node, 201, false);
         } else {
-            self.reply(d, call, node, 410, true);
+            self.reply(director, call, node, 410, true);
         }
     }
 
     // ---- nodes ------------------------------------------------------------------------------
 
-    /// A node's process is gone: calls to it break, what played there ends, fronts see it at once.
-    fn down(&mut self, node: u64) {
+    /// A node's process dies: its sessions end, calls to it fail with an unknown outcome, and the directors see the lost
+    /// connection after the network delay.
+    fn crash_node(&mut self, node: u64) {
         let Some(n) = self.fleet.nodes.get_mut(&node) else {
             return;
         };
@@ -569,76 +614,86 @@
         n.setups_in_flight = 0;
         playing
             .into_iter()
-            .for_each(|id| self.hide(id.session, true));
+            .for_each(|id| self.finish_session(id.session, true));
         let broken: Vec<_> = self
             .calls
             .iter()
             .filter(|(_, c)| c.server == node)
             .map(|(k, _)| *k)
             .collect();
-        for (d, call) in broken {
+        for (director, call) in broken {
             self.calls
-                .get_mut(&(d, call))
+                .get_mut(&(director, call))
                 .into_iter()
                 .for_each(|c| c.setting_up = false);
-            self.later(
-                NET,
-                Due::Reply(d, call, CallResult::MaybeExecuted("reset".into())),
+            self.schedule_after(
+                NETWORK_DELAY,
+                ScheduledEvent::DeliverReply(
+                    director,
+                    call,
+                    CallResult::MaybeExecuted("reset".into()),
+                ),
             );
         }
-        for d in 0..self.engines.len() {
-            self.later(
-                NET,
-                Due::Tell(
-                    d,
+        for director in 0..self.engines.len() {
+            self.schedule_after(
+                NETWORK_DELAY,
+                ScheduledEvent::DeliverInput(
+                    director,
                     Input::NodeDown {
                         server: ServerId(node),
                     },
                 ),
             );
         }
-        self.list(node, EndpointState::Gone, None);
+        self.update_endpoint_list(node, EndpointState::Gone, None);
     }
 
-    fn up(&mut self, node: u64) {
+    fn restart_node(&mut self, node: u64) {
         let Some(n) = self.fleet.nodes.get(&node) else {
             return;
         };
         if n.fell_over {
-            return; // pushed over: it stays down
+            return; // A node that failed by overload is not restarted.
         }
         let machine = n.machine.clone();
         self.fleet
             .start(machine, Timestamp::from_micros(self.now), false);
-        self.list(node, EndpointState::Ready, Some(self.now));
+        self.update_endpoint_list(node, EndpointState::Ready, Some(self.now));
     }
 
-    /// The list hears of it late.
-    fn list(&mut self, node: u64, standing: EndpointState, came_up: Option<Micros>) {
+    /// Changes a node's entry in the endpoint list; directors get the update after the list's delay.
+    fn update_endpoint_list(
+        &mut self,
+        node: u64,
+        state: EndpointState,
+        started_at: Option<Micros>,
+    ) {
         let machine = self.fleet.nodes[&node].machine.clone();
-        let line = line(&machine, standing, came_up);
-        self.listed.insert(node, line.clone());
-        let late = micros_from_millis(self.plan.fleet.list_delay_ms);
-        for d in 0..self.engines.len() {
-            let lines = vec![line.clone()];
-            self.later(
-                late,
-                Due::Tell(
-                    d,
+        let entry = endpoint_entry(&machine, state, started_at);
+        self.endpoint_list.insert(node, entry.clone());
+        let delay = micros_from_millis(self.plan.fleet.list_delay_ms);
+        for director in 0..self.engines.len() {
+            let entries = vec![entry.clone()];
+            self.schedule_after(
+                delay,
+                ScheduledEvent::DeliverInput(
+                    director,
                     Input::EndpointsUpdated {
                         update: EndpointUpdate::Delta,
-                        endpoints: lines,
+                        endpoints: entries,
                     },
                 ),
             );
         }
     }
 
-    /// Nodes are looked at: what they tell, what their sessions earn, who leaves for want of picture.
-    fn look(&mut self) {
-        self.later(LOOK, Due::Look);
-        let news = self
-            .teller
+    /// Samples the fleet: sends the load notifications that are due, adds the worth earned since the last sample, and
+    /// draws which viewers abandon their sessions for poor delivery.
+    fn observe(&mut self) {
+        self.schedule_after(OBSERVATION_INTERVAL, ScheduledEvent::Observe);
+        let notifications = self
+            .notifier
             .poll(&mut self.fleet, Timestamp::from_micros(self.now));
         for Notification {
             node,
@@ -647,9 +702,9 @@
             delivered,
             link,
             uplink,
-        } in news
+        } in notifications
         {
-            let told = NodeEvent::LoadReported {
+            let node_event = NodeEvent::LoadReported {
                 session: SessionId(session),
                 delivered_fraction: delivered,
                 link_utilization: link,
@@ -657,44 +712,52 @@
             };
             let input = Input::NodeNotified {
                 server: ServerId(node),
-                event: told,
+                event: node_event,
             };
-            self.later(NET, Due::Tell(director as usize, input));
+            self.schedule_after(
+                NETWORK_DELAY,
+                ScheduledEvent::DeliverInput(director as usize, input),
+            );
         }
-        let (dt, at) = (LOOK as f64 / 1e6, self.seconds());
-        let shares: BTreeMap<u64, f64> = self
+        let (elapsed_s, at) = (OBSERVATION_INTERVAL as f64 / 1e6, self.seconds());
+        let delivered_fractions: BTreeMap<u64, f64> = self
             .fleet
             .nodes
             .keys()
             .map(|id| (*id, self.fleet.load(*id).delivered))
             .collect();
-        let (mut got, mut leaving) = (0.0, Vec::new());
-        let mut rungs: BTreeMap<usize, f64> = BTreeMap::new();
-        let tallies = &mut self.result.count.tallies;
-        for (session, shown) in &self.shown {
-            let Some(playing) = self.fleet.nodes[&shown.node].playing.get(&shown.run) else {
+        let (mut worth_earned, mut abandoning) = (0.0, Vec::new());
+        let mut seconds_by_rung: BTreeMap<usize, f64> = BTreeMap::new();
+        let viewer_totals = &mut self.result.totals.viewer_totals;
+        for (session, playing_session) in &self.playing_sessions {
+            let Some(playing) = self.fleet.nodes[&playing_session.node]
+                .playing
+                .get(&playing_session.attempt_id)
+            else {
                 continue;
             };
-            let viewer = &self.viewers[shown.viewer];
-            let class = &self.crowd.classes[viewer.person.class];
-            let share = shares[&shown.node];
-            let full = dt * class.priority_weight * self.crowd.utility[playing.rung];
-            got += full * self.crowd.worth_kept(share);
-            tallies.update(viewer.tenant.as_deref(), |t| {
-                t.worth_earned += full * self.crowd.worth_kept(share);
-                *t.seconds_by_rung.entry(playing.rung).or_default() += dt;
+            let viewer = &self.viewers[playing_session.viewer];
+            let class = &self.population.classes[viewer.profile.class];
+            let delivered_fraction = delivered_fractions[&playing_session.node];
+            let full_worth =
+                elapsed_s * class.priority_weight * self.population.utility[playing.rung];
+            worth_earned += full_worth * self.population.worth_kept(delivered_fraction);
+            viewer_totals.update(viewer.tenant.as_deref(), |t| {
+                t.worth_earned += full_worth * self.population.worth_kept(delivered_fraction);
+                *t.seconds_by_rung.entry(playing.rung).or_default() += elapsed_s;
             });
-            self.result.count.stalled += full * (1.0 - self.crowd.worth_kept(share));
-            *rungs.entry(playing.rung).or_default() += dt;
-            if share < POOR
-                && self.now - shown.since > POOR_AFTER
-                && self.dice.random::<f64>() < LEAVES
+            self.result.totals.stall_cost +=
+                full_worth * (1.0 - self.population.worth_kept(delivered_fraction));
+            *seconds_by_rung.entry(playing.rung).or_default() += elapsed_s;
+            if delivered_fraction < LOW_DELIVERY_FRACTION
+                && self.now - playing_session.started_at > ABANDONMENT_DELAY
+                && self.rng.random::<f64>() < ABANDONMENT_PROBABILITY
             {
-                leaving.push(*session);
+                abandoning.push(*session);
             }
         }
         let racks = &self.fleet.parameters.uplinks_kb_s;
-        let mut room: BTreeMap<u64, f64> = BTreeMap::new();
+        let mut capacity_kb_s: BTreeMap<u64, f64> = BTreeMap::new();
         for n in self
             .fleet
             .nodes
@@ -706,61 +769,73 @@
                 .cell
                 .checked_rem(racks.len() as u64)
                 .unwrap_or(n.machine.id);
-            *room.entry(rack).or_default() += n.machine.link_kb_s / self.fleet.link_slowdown;
+            *capacity_kb_s.entry(rack).or_default() +=
+                n.machine.link_kb_s / self.fleet.link_slowdown;
         }
         let uplink = |rack: &u64| racks.get(*rack as usize).copied().unwrap_or(f64::INFINITY);
-        let room: f64 = room.iter().map(|(rack, kb)| kb.min(uplink(rack))).sum();
-        let bound = self
-            .result
-            .bounds
-            .pass(&self.settings, &self.wanting, room, dt);
+        let capacity_kb_s: f64 = capacity_kb_s
+            .iter()
+            .map(|(rack, kb)| kb.min(uplink(rack)))
+            .sum();
+        let worth_bound =
+            self.result
+                .bounds
+                .add_interval(&self.settings, &self.demand, capacity_kb_s, elapsed_s);
         let (terms, ladder) = (&self.settings.classes, &self.settings.ladder);
-        let wanted = |((class, top), n): (&(usize, usize), &usize)| {
+        let worth_offered_per_s = |((class, top), n): (&(usize, usize), &usize)| {
             *n as f64 * terms[*class].priority_weight * ladder[*top].utility
         };
-        let wanted: f64 = self.wanting.iter().map(wanted).sum();
-        let count = &mut self.result.count;
-        count.tallies.all.worth_offered += wanted * dt;
-        let span = count.span(at);
-        (span.got, span.wanted, span.bound) = (
-            span.got + got,
-            span.wanted + wanted * dt,
-            span.bound + bound,
+        let worth_offered: f64 = self.demand.iter().map(worth_offered_per_s).sum();
+        let totals = &mut self.result.totals;
+        totals.viewer_totals.all.worth_offered += worth_offered * elapsed_s;
+        let interval = totals.interval(at);
+        (
+            interval.worth_earned,
+            interval.worth_offered,
+            interval.worth_bound,
+        ) = (
+            interval.worth_earned + worth_earned,
+            interval.worth_offered + worth_offered * elapsed_s,
+            interval.worth_bound + worth_bound,
         );
-        rungs
+        seconds_by_rung
+            .into_iter()
+            .for_each(|(r, t)| *interval.seconds_by_rung.entry(r).or_default() += t);
+        abandoning
             .into_iter()
-            .for_each(|(r, t)| *span.rungs.entry(r).or_default() += t);
-        leaving.into_iter().for_each(|s| self.leave(s, true));
+            .for_each(|s| self.stop_watching(s, true));
     }
 
-    fn carry_out(&mut self, due: Due) {
-        match due {
-            Due::Arrive(stream) => self.arrive(stream),
-            Due::Ask(viewer) => self.ask(viewer),
-            Due::Gone(viewer) => {
-                let p = &self.viewers[viewer].person;
-                self.wanting
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::ViewerArrives(stream) => self.viewer_arrives(stream),
+            ScheduledEvent::SendRequest(viewer) => self.send_request(viewer),
+            ScheduledEvent::ViewerDeparts(viewer) => {
+                let p = &self.viewers[viewer].profile;
+                self.demand
                     .entry((self.classes[p.class], p.highest_rung))
                     .and_modify(|n| *n -= 1);
             }
-            Due::Leave(session, poor) => self.leave(session, poor),
-            Due::Reach(d, call) => self.reach(d, call),
-            Due::Begin(d, call) => self.begin(d, call),
-            Due::Reply(d, call, done) => {
-                if self.calls.remove(&(d, call)).is_some() {
-                    self.tell(d, Input::CallFinished { call, result: done });
+            ScheduledEvent::StopWatching(session, abandoned) => {
+                self.stop_watching(session, abandoned)
+            }
+            ScheduledEvent::DeliverCall(director, call) => self.deliver_call(director, call),
+            ScheduledEvent::FinishSetup(director, call) => self.finish_setup(director, call),
+            ScheduledEvent::DeliverReply(director, call, result) => {
+                if self.calls.remove(&(director, call)).is_some() {
+                    self.deliver_input(director, Input::CallFinished { call, result });
                 }
             }
-            Due::Tell(d, input) => self.tell(d, input),
-            Due::Look => self.look(),
-            Due::Begins(i) => self.trouble_begins(i),
-            Due::Ends(i, met) => self.trouble_ends(i, met),
-            Due::Lapse(director) => self.lapse(director),
+            ScheduledEvent::DeliverInput(director, input) => self.deliver_input(director, input),
+            ScheduledEvent::Observe => self.observe(),
+            ScheduledEvent::FaultBegins(i) => self.begin_fault(i),
+            ScheduledEvent::FaultEnds(i, affected) => self.end_fault(i, affected),
+            ScheduledEvent::DirectorLeaseExpires(director) => self.expire_director_lease(director),
         }
     }
 }
 
-fn front(plan: &DayPlan, number: u32) -> DirectorSettings {
+fn director_settings(plan: &DayPlan, number: u32) -> DirectorSettings {
     let zones = &plan.site.zones;
     DirectorSettings {
         listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
@@ -777,15 +852,19 @@
     }
 }
 
-fn line(machine: &Machine, standing: EndpointState, came_up: Option<Micros>) -> EndpointEntry {
+fn endpoint_entry(
+    machine: &Machine,
+    state: EndpointState,
+    started_at: Option<Micros>,
+) -> EndpointEntry {
     EndpointEntry {
         server: ServerId(machine.id),
         address: Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 1))),
         zone: machine.zone.clone(),
         machine_kind: machine.kind.clone(),
         cell: machine.cell,
-        state: standing,
+        state,
         weight: machine.weight,
-        started_at: came_up.map(Timestamp::from_micros),
+        started_at: started_at.map(Timestamp::from_micros),
     }
 }
--- a/crates/simulation/src/world/viewers.rs
+++ b/crates/simulation/src/world/viewers.rs
@@ -1,207 +1,220 @@
-//! Viewers: they come, ask, come again, watch and leave.
+//! Viewers: arrival, requests, retries, playing and departure.
 
 use super::*;
 use shalewall::TimeDelta;
 
 impl World<'_> {
-    /// Enters something of one viewer.
-    pub(super) fn tally(&mut self, viewer: usize, what: impl Fn(&mut ViewerTotals)) {
+    /// Updates the totals of all viewers and of the viewer's tenant.
+    pub(super) fn update_viewer_totals(
+        &mut self,
+        viewer: usize,
+        update: impl Fn(&mut ViewerTotals),
+    ) {
         self.result
-            .count
-            .tallies
-            .update(self.viewers[viewer].tenant.as_deref(), what);
+            .totals
+            .viewer_totals
+            .update(self.viewers[viewer].tenant.as_deref(), update);
     }
 
-    pub(super) fn arrive(&mut self, stream: usize) {
-        let tenant = self.crowd.tenants.get(stream).cloned();
-        let burst = tenant
+    pub(super) fn viewer_arrives(&mut self, stream: usize) {
+        let tenant = self.population.tenants.get(stream).cloned();
+        let tenant_factor = tenant
             .as_ref()
-            .and_then(|(name, _)| self.bursts.get(name))
+            .and_then(|(name, _)| self.tenant_arrival_factors.get(name))
             .unwrap_or(&1.0);
-        let times = tenant.as_ref().map_or(1.0, |(_, times)| *times) * burst;
-        let extra = self.extra.as_ref().map_or(0.0, |(_, part)| *part);
-        let all = self.burst + extra;
-        let dice = &mut self.arrivals[stream];
+        let tenant_rate = tenant.as_ref().map_or(1.0, |(_, rate)| *rate) * tenant_factor;
+        let extra_arrivals = self
+            .extra_arrivals
+            .as_ref()
+            .map_or(0.0, |(_, factor)| *factor);
+        let all_arrivals = self.arrival_factor + extra_arrivals;
+        let rng = &mut self.arrival_rngs[stream];
         let gap = self
-            .crowd
-            .time_to_next_arrival(all * times, dice)
+            .population
+            .time_to_next_arrival(all_arrivals * tenant_rate, rng)
             .as_micros() as Micros;
-        let extra = self.extra.as_ref().map(|(draw, _)| (draw, extra / all));
-        let person = self.crowd.draw_viewer(extra, dice);
-        let front = (dice.random::<f64>() * self.engines.len() as f64) as usize;
-        self.later(gap, Due::Arrive(stream));
-        let span = person.watch_time.as_micros() as Micros;
+        let extra_interest = self
+            .extra_arrivals
+            .as_ref()
+            .map(|(interest, _)| (interest, extra_arrivals / all_arrivals));
+        let profile = self.population.draw_viewer(extra_interest, rng);
+        let director = (rng.random::<f64>() * self.engines.len() as f64) as usize;
+        self.schedule_after(gap, ScheduledEvent::ViewerArrives(stream));
+        let watch_time = profile.watch_time.as_micros() as Micros;
         *self
-            .wanting
-            .entry((self.classes[person.class], person.highest_rung))
+            .demand
+            .entry((self.classes[profile.class], profile.highest_rung))
             .or_default() += 1;
         let viewer = self.viewers.len();
-        let until = self.now + span;
+        let departs_at = self.now + watch_time;
         let tenant = tenant.map(|(name, _)| name);
-        let within = Duration::from_micros(
+        let remaining_day = Duration::from_micros(
             (micros_from_millis(self.plan.day.seconds * 1000.0) - self.now).max(0) as u64,
         );
-        let wanted = self.crowd.worth_offered(&person, within);
+        let worth_offered = self.population.worth_offered(&profile, remaining_day);
         let new = Viewer {
-            person,
+            profile,
             tenant,
-            until,
-            front,
-            asks: 0,
-            refused: false,
-            played: false,
+            departs_at,
+            director,
+            requests_sent: 0,
+            was_rejected: false,
+            has_played: false,
         };
         self.viewers.push(new);
-        self.tally(viewer, |t| {
+        self.update_viewer_totals(viewer, |t| {
             (t.viewers, t.viewers_unserved) = (t.viewers + 1, t.viewers_unserved + 1)
         });
-        // Of all viewers what is wanted is summed up as time passes, beside the bound.
+        // `World::observe` adds the worth offered by all viewers together, at the same time as the bound.
         let tenant = self.viewers[viewer].tenant.as_ref();
-        let tallies = &mut self.result.count.tallies.tenants;
+        let totals_by_tenant = &mut self.result.totals.viewer_totals.tenants;
         tenant
-            .and_then(|t| tallies.get_mut(t))
+            .and_then(|t| totals_by_tenant.get_mut(t))
             .into_iter()
-            .for_each(|t| t.worth_offered += wanted);
-        self.later(span, Due::Gone(viewer));
-        self.ask(viewer);
+            .for_each(|t| t.worth_offered += worth_offered);
+        self.schedule_after(watch_time, ScheduledEvent::ViewerDeparts(viewer));
+        self.send_request(viewer);
     }
 
-    pub(super) fn ask(&mut self, viewer: usize) {
+    pub(super) fn send_request(&mut self, viewer: usize) {
         let v = &mut self.viewers[viewer];
-        if self.now >= v.until {
+        if self.now >= v.departs_at {
             return;
         }
-        let (at, front) = (self.now as f64 / 1e6, v.front);
-        self.tally(viewer, |t| t.requested += 1);
-        self.result.count.span(at).asked += 1;
-        if self.engines[front].is_none() {
-            self.tally(viewer, |t| t.unanswered += 1);
-            return self.again(viewer, None);
+        let (at, director) = (self.now as f64 / 1e6, v.director);
+        self.update_viewer_totals(viewer, |t| t.requested += 1);
+        self.result.totals.interval(at).requested += 1;
+        if self.engines[director].is_none() {
+            self.update_viewer_totals(viewer, |t| t.unanswered += 1);
+            return self.schedule_retry(viewer, None);
         }
         let v = &mut self.viewers[viewer];
-        let left = (v.until - self.now) as f64 * self.crowd.hint_factor;
-        let new = SessionRequest {
-            viewer_key: v.person.key.clone(),
-            class: self.crowd.classes[v.person.class].name.clone(),
-            title: v.person.title.clone(),
-            duration_hint: (left > 0.0).then_some(TimeDelta::from_micros(left as Micros)),
-            highest_rung: Some(v.person.highest_rung),
-            is_retry: v.asks > 0,
+        let duration_hint = (v.departs_at - self.now) as f64 * self.population.hint_factor;
+        let request = SessionRequest {
+            viewer_key: v.profile.key.clone(),
+            class: self.population.classes[v.profile.class].name.clone(),
+            title: v.profile.title.clone(),
+            duration_hint: (duration_hint > 0.0)
+                .then_some(TimeDelta::from_micros(duration_hint as Micros)),
+            highest_rung: Some(v.profile.highest_rung),
+            is_retry: v.requests_sent > 0,
             tenant: v.tenant.clone(),
             ..SessionRequest::default()
         };
-        v.asks += 1;
-        let ask = self.next_ask;
-        self.next_ask += 1;
-        self.asks.insert(ask, viewer);
-        self.tell(
-            front,
+        v.requests_sent += 1;
+        let request_id = self.next_request_id;
+        self.next_request_id += 1;
+        self.pending_requests.insert(request_id, viewer);
+        self.deliver_input(
+            director,
             Input::RequestReceived {
-                request_id: RequestId(ask),
-                request: new,
+                request_id: RequestId(request_id),
+                request,
             },
         );
     }
 
-    /// Turned away, failed or broken off: most come again, to the next front half of the time.
-    pub(super) fn again(&mut self, viewer: usize, pause: Option<Micros>) {
-        if self.dice.random::<f64>() >= self.crowd.retry_fraction {
+    /// Schedules a retry of a viewer that was rejected, got no answer or lost its session. Part of the viewers give up;
+    /// half of the others send the retry to the next director.
+    pub(super) fn schedule_retry(&mut self, viewer: usize, pause: Option<Micros>) {
+        if self.rng.random::<f64>() >= self.population.retry_fraction {
             return;
         }
-        let pause = pause.unwrap_or(self.crowd.retry_pause.as_micros() as Micros) as f64;
-        let pause = pause * (0.5 + self.dice.random::<f64>());
-        if self.dice.random::<f64>() < 0.5 {
+        let pause = pause.unwrap_or(self.population.retry_pause.as_micros() as Micros) as f64;
+        let pause = pause * (0.5 + self.rng.random::<f64>());
+        if self.rng.random::<f64>() < 0.5 {
             let v = &mut self.viewers[viewer];
-            v.front = (v.front + 1) % self.engines.len();
+            v.director = (v.director + 1) % self.engines.len();
         }
-        self.later(pause as Micros, Due::Ask(viewer));
+        self.schedule_after(pause as Micros, ScheduledEvent::SendRequest(viewer));
     }
 
-    pub(super) fn on_answer(&mut self, ask: u64, answer: Answer) {
-        let Some(viewer) = self.asks.remove(&ask) else {
+    pub(super) fn on_answer(&mut self, request_id: u64, answer: Answer) {
+        let Some(viewer) = self.pending_requests.remove(&request_id) else {
             return;
         };
         let at = self.seconds();
         let v = &mut self.viewers[viewer];
         match answer {
             Answer::Playing { session, .. } => {
-                let Some((node, run)) = self.began.remove(&session.0) else {
+                let Some((node, attempt_id)) = self.completed_setups.remove(&session.0) else {
                     return;
                 };
-                let left = v.until - self.now;
-                let first = u64::from(!std::mem::replace(&mut v.played, true));
-                self.tally(viewer, |t| {
+                let remaining_watch_time = v.departs_at - self.now;
+                let first = u64::from(!std::mem::replace(&mut v.has_played, true));
+                self.update_viewer_totals(viewer, |t| {
                     (t.played, t.viewers_unserved) = (t.played + 1, t.viewers_unserved - first)
                 });
-                self.shown.insert(
+                self.playing_sessions.insert(
                     session.0,
-                    Shown {
+                    PlayingSession {
                         viewer,
                         node,
-                        run,
-                        since: self.now,
+                        attempt_id,
+                        started_at: self.now,
                     },
                 );
-                if !self.fleet.nodes[&node].playing.contains_key(&run) {
-                    return self.hide(session.0, true); // the node died while it answered
+                if !self.fleet.nodes[&node].playing.contains_key(&attempt_id) {
+                    return self.finish_session(session.0, true); // The node died before its answer arrived.
                 }
-                self.later(left, Due::Leave(session.0, false));
+                self.schedule_after(
+                    remaining_watch_time,
+                    ScheduledEvent::StopWatching(session.0, false),
+                );
             }
-            Answer::Rejected {
-                retry_after: come_back,
-                ..
-            } => {
-                let first = u64::from(!std::mem::replace(&mut v.refused, true));
-                self.tally(viewer, |t| {
+            Answer::Rejected { retry_after, .. } => {
+                let first = u64::from(!std::mem::replace(&mut v.was_rejected, true));
+                self.update_viewer_totals(viewer, |t| {
                     (t.rejected, t.viewers_rejected) = (t.rejected + 1, t.viewers_rejected + first)
                 });
-                self.result.count.span(at).refused += 1;
-                self.again(viewer, come_back.map(TimeDelta::as_micros));
+                self.result.totals.interval(at).rejected += 1;
+                self.schedule_retry(viewer, retry_after.map(TimeDelta::as_micros));
             }
             Answer::Failed { .. } | Answer::Unknown(_) | Answer::Conflict(_) => {
-                self.tally(viewer, |t| t.failed += 1);
+                self.update_viewer_totals(viewer, |t| t.failed += 1);
             }
         }
     }
 
-    /// A viewer ends its session at the node; the front hears of it from there.
-    pub(super) fn leave(&mut self, session: u64, poor: bool) {
-        let Some(shown) = self.shown.get(&session) else {
+    /// A viewer ends its session at the node, which notifies the director.
+    pub(super) fn stop_watching(&mut self, session: u64, abandoned: bool) {
+        let Some(playing_session) = self.playing_sessions.get(&session) else {
             return;
         };
-        let (node, run) = (shown.node, shown.run);
+        let (node, attempt_id) = (playing_session.node, playing_session.attempt_id);
         let director = self.fleet.nodes[&node]
             .playing
-            .get(&run)
+            .get(&attempt_id)
             .map(|p| p.director);
-        self.fleet.end_session(node, run);
-        if let Some(d) = director {
-            let told = NodeEvent::SessionEnded {
+        self.fleet.end_session(node, attempt_id);
+        if let Some(director) = director {
+            let node_event = NodeEvent::SessionEnded {
                 session: SessionId(session),
-                attempt: run.attempt,
+                attempt: attempt_id.attempt,
             };
-            self.later(
-                NET,
-                Due::Tell(
-                    d as usize,
+            self.schedule_after(
+                NETWORK_DELAY,
+                ScheduledEvent::DeliverInput(
+                    director as usize,
                     Input::NodeNotified {
                         server: ServerId(node),
-                        event: told,
+                        event: node_event,
                     },
                 ),
             );
         }
-        self.hide(session, poor);
+        self.finish_session(session, abandoned);
     }
 
-    /// A session is over for its viewer. `broke`: it had wanted more, and may come again.
-    pub(super) fn hide(&mut self, session: u64, broke: bool) {
-        let Some(shown) = self.shown.remove(&session) else {
+    /// A session is over for its viewer. If it was interrupted before the end of the viewer's watch time, the viewer may
+    /// retry.
+    pub(super) fn finish_session(&mut self, session: u64, interrupted: bool) {
+        let Some(playing_session) = self.playing_sessions.remove(&session) else {
             return;
         };
-        if broke && self.viewers[shown.viewer].until > self.now {
-            self.tally(shown.viewer, |t| t.broken += 1);
-            self.again(shown.viewer, None);
+        if interrupted && self.viewers[playing_session.viewer].departs_at > self.now {
+            self.update_viewer_totals(playing_session.viewer, |t| t.broken += 1);
+            self.schedule_retry(playing_session.viewer, None);
         }
     }
 }
