--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -77,7 +77,7 @@
 }
 
 /// The day's viewer population.
-pub fn population(plan: &DayPlan) -> ViewerPopulation {
+pub fn crowd(plan: &DayPlan) -> ViewerPopulation {
     let (site, load) = (&plan.site, &plan.load);
     let class = |(name, fraction): (&String, &f64)| {
         let c = &site.classes[name];
@@ -119,7 +119,7 @@
 
 /// Random number generators of arrivals, one for each tenant, so that a tenant's viewers do not depend on the other
 /// tenants.
-pub fn arrival_rngs(plan: &DayPlan) -> Vec<ChaCha8Rng> {
+pub fn arrivals(plan: &DayPlan) -> Vec<ChaCha8Rng> {
     let seed = |name: &str| {
         name.bytes()
             .fold(plan.day.seed ^ 2, |s, b| s.rotate_left(9) ^ u64::from(b))
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -212,7 +212,7 @@
         let seed = plan.day.seed;
         let directors = plan.day.directors as usize;
         let notifications = &plan.site.notifications;
-        let population = plan::population(plan);
+        let population = plan::crowd(plan);
         let class_number = |c: &Class| {
             plan.site
                 .classes
@@ -231,7 +231,7 @@
                 TimeDelta::from_micros(micros_from_millis(notifications.interval_ms)),
                 TimeDelta::from_micros(micros_from_millis(notifications.delay_ms)),
             ),
-            arrival_rngs: plan::arrival_rngs(plan),
+            arrival_rngs: plan::arrivals(plan),
             rng: ChaCha8Rng::seed_from_u64(seed ^ 3),
             now: 0,
             queue: BTreeMap::new(),
