--- a/crates/load-test/src/hyper_front.rs
+++ b/crates/load-test/src/hyper_server.rs
@@ -1,5 +1,5 @@
-//! The same exchange on hyper: a viewer's request, a random holder, a set-up there, the answer. It decides
-//! nothing, keeps no account and no timer, so it is a bound from below on what a front on hyper takes.
+//! The same exchange on hyper: a viewer's request, a set-up at a random node, and the answer. It has no decision logic,
+//! no load accounting and no timers, so its cost is a lower bound for a director on hyper.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
@@ -18,9 +18,9 @@
 struct State {
     nodes: Vec<SocketAddr>,
     client: Client<HttpConnector, Full<Bytes>>,
-    /// Where each session plays.
+    /// The node of each session.
     sessions: RefCell<HashMap<u64, SocketAddr>>,
-    next: RefCell<u64>,
+    next_session: RefCell<u64>,
 }
 
 fn answer(status: u16, body: String) -> Response<Full<Bytes>> {
@@ -47,22 +47,22 @@
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, hyper::Error> {
     let path = request.uri().path().to_string();
-    let posted = request.method() == Method::POST;
+    let is_post = request.method() == Method::POST;
     let body = request.into_body().collect().await?.to_bytes();
-    if posted {
-        let Ok(wanted) = serde_json::from_slice::<Value>(&body) else {
+    if is_post {
+        let Ok(viewer_request) = serde_json::from_slice::<Value>(&body) else {
             return Ok(answer(422, String::new()));
         };
-        let session = state.next.replace_with(|n| *n + 1);
+        let session = state.next_session.replace_with(|n| *n + 1);
         let node = state.nodes[rand::rng().random_range(0..state.nodes.len())];
-        let body = serde_json::json!({ "director": 0, "class": wanted["class"], "title": wanted["title"],
+        let body = serde_json::json!({ "director": 0, "class": viewer_request["class"], "title": viewer_request["title"],
             "rung": 1, "kb": 900.0 });
         let uri = format!("http://{node}/sessions/{session}/0");
-        let Some(said) = call(&state, Method::PUT, uri, body.to_string()).await else {
+        let Some(reply) = call(&state, Method::PUT, uri, body.to_string()).await else {
             return Ok(answer(502, String::new()));
         };
         state.sessions.borrow_mut().insert(session, node);
-        let body = serde_json::json!({ "session": session, "rung": 1, "media": said["media"] });
+        let body = serde_json::json!({ "session": session, "rung": 1, "media": reply["media"] });
         return Ok(answer(201, body.to_string()));
     }
     let session = path
@@ -71,7 +71,7 @@
     let node = session.and_then(|s| state.sessions.borrow_mut().remove(&s));
     if let (Some(session), Some(node)) = (session, node) {
         let uri = format!("http://{node}/sessions/{session}/0");
-        // As the front does, the viewer is not kept waiting for the node.
+        // Like the director, it answers the viewer without waiting for the node.
         let state = state.clone();
         tokio::task::spawn_local(async move {
             call(&state, Method::DELETE, uri, String::new()).await;
@@ -80,6 +80,7 @@
     Ok(answer(204, String::new()))
 }
 
+/// Serves until it is killed, and logs the listening address as the director does.
 pub fn run(nodes: Vec<SocketAddr>) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -95,15 +96,15 @@
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new()).build(connector);
-        let state = Rc::new(State { nodes, client, sessions: RefCell::default(), next: RefCell::new(1) });
+        let state = Rc::new(State { nodes, client, sessions: RefCell::default(), next_session: RefCell::new(1) });
         loop {
             let (stream, _) = listener.accept().await?;
             let _ = stream.set_nodelay(true);
             let state = state.clone();
             tokio::task::spawn_local(async move {
                 let service = service_fn(move |request| serve(state.clone(), request));
-                let served = hyper::server::conn::http1::Builder::new();
-                let _ = served.serve_connection(TokioIo::new(stream), service).await;
+                let builder = hyper::server::conn::http1::Builder::new();
+                let _ = builder.serve_connection(TokioIo::new(stream), service).await;
             });
         }
     })
--- a/crates/load-test/src/nodes.rs
+++ b/crates/load-test/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes that answer at once, and a list that names them, on a thread of their own.
+//! Media nodes that answer without delay, and the endpoint list that names them, on a thread of their own.
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -12,27 +12,28 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-const NODES: usize = 4;
+const NODE_COUNT: usize = 4;
 
+/// Addresses of the nodes and of the endpoint list.
 pub struct Addresses {
     pub nodes: Vec<SocketAddr>,
     pub list: SocketAddr,
 }
 
-/// A stream of this event and then of beats.
-fn events(first: &str, data: &str) -> Reply {
+/// An event stream of one event, followed by keep-alives.
+fn event_stream(event: &str, data: &str) -> Reply {
     let mut bytes = Vec::new();
-    sse::write_event(&mut bytes, first, data);
-    let beats = stream::unfold((), |()| async {
+    sse::write_event(&mut bytes, event, data);
+    let keep_alives = stream::unfold((), |()| async {
         Timer::after(Duration::from_millis(500)).await;
         Some((sse::KEEP_ALIVE.to_vec(), ()))
     });
     Reply::new(200)
         .with_field("Content-Type", "text/event-stream")
-        .stream(stream::once(bytes).chain(beats))
+        .stream(stream::once(bytes).chain(keep_alives))
 }
 
-async fn node(request: Request) -> Reply {
+async fn answer_as_node(request: Request) -> Reply {
     let head = &request.head;
     match (head.method.as_str(), head.path()) {
         ("PUT", path) => {
@@ -40,23 +41,24 @@
             Reply::json(201, text)
                 .with_field("Shalewall-Load", "streams=5, link=0.1000, uplink=0.1000")
         }
-        ("GET", "/events") => events("held", "[]"),
+        ("GET", "/events") => event_stream("held", "[]"),
         _ => Reply::new(204).with_field("Shalewall-Load", "streams=5, link=0.1000, uplink=0.1000"),
     }
 }
 
-fn list(nodes: &[SocketAddr]) -> String {
-    let line = |(i, a): (usize, &SocketAddr)| {
+fn endpoint_list(nodes: &[SocketAddr]) -> String {
+    let entry = |(i, a): (usize, &SocketAddr)| {
         format!(
             "{{\"server\":{i},\"address\":\"{a}\",\"kind\":\"box\",\"cell\":{i},\"standing\":\"ready\"}}"
         )
     };
-    let lines: Vec<_> = nodes.iter().enumerate().map(line).collect();
-    format!("[{}]", lines.join(","))
+    let entries: Vec<_> = nodes.iter().enumerate().map(entry).collect();
+    format!("[{}]", entries.join(","))
 }
 
+/// Starts the nodes and the endpoint list and returns once they accept connections.
 pub fn start() -> std::io::Result<Addresses> {
-    let listeners: Vec<_> = (0..=NODES)
+    let listeners: Vec<_> = (0..=NODE_COUNT)
         .map(|_| TcpListener::bind("127.0.0.1:0"))
         .collect::<Result<_, _>>()?;
     let mut nodes: Vec<SocketAddr> = listeners
@@ -64,26 +66,26 @@
         .map(TcpListener::local_addr)
         .collect::<Result<_, _>>()?;
     let list_address = nodes.remove(0);
-    let told = list(&nodes);
-    let (ready, wait) = mpsc::channel();
+    let entries = endpoint_list(&nodes);
+    let (ready_sender, ready_receiver) = mpsc::channel();
     std::thread::spawn(move || {
-        let ex = Rc::new(LocalExecutor::new());
+        let executor = Rc::new(LocalExecutor::new());
         for (i, listener) in listeners.into_iter().enumerate() {
-            let (spawner, told) = (ex.clone(), told.clone());
+            let (spawner, entries) = (executor.clone(), entries.clone());
             let accept = async move {
                 let listener = Async::new(listener).expect("a listener can be polled");
                 let limits = Rc::new(Limits::default());
                 while let Ok((stream, _)) = listener.accept().await {
                     let _ = stream.get_ref().set_nodelay(true);
-                    let (limits, told) = (limits.clone(), told.clone());
+                    let (limits, entries) = (limits.clone(), entries.clone());
                     let served = async move {
                         serve(stream, &limits, |request| {
-                            let told = told.clone();
+                            let entries = entries.clone();
                             async move {
                                 if i == 0 {
-                                    events("full", &told)
+                                    event_stream("full", &entries)
                                 } else {
-                                    node(request).await
+                                    answer_as_node(request).await
                                 }
                             }
                         })
@@ -92,20 +94,20 @@
                     spawner.spawn(served).detach();
                 }
             };
-            ex.spawn(accept).detach();
+            executor.spawn(accept).detach();
         }
-        let _ = ready.send(());
-        async_io::block_on(ex.run(future::pending::<()>()));
+        let _ = ready_sender.send(());
+        async_io::block_on(executor.run(future::pending::<()>()));
     });
-    let _ = wait.recv();
+    let _ = ready_receiver.recv();
     Ok(Addresses {
         nodes,
         list: list_address,
     })
 }
 
-/// A site that turns nobody away, so that all that is asked is set up.
-pub fn front_settings(list: SocketAddr) -> std::io::Result<String> {
+/// Settings of a director whose site has capacity for all requests, so that none is rejected.
+pub fn director_settings(list: SocketAddr) -> std::io::Result<String> {
     let text = format!(
         r#"
         front {{
@@ -124,7 +126,7 @@
             worth = 1
           }}
           ladder = [{{ kb = 300, worth = 0.4 }}, {{ kb = 900, worth = 1 }}]
-          layout {{ cells = {NODES} }}
+          layout {{ cells = {NODE_COUNT} }}
           link {{ kb_per_weight = 1000000000 }}
           rules {{
             drain_within_ms = 250
@@ -137,12 +139,12 @@
           limits {{ max_attempts = 3 }}
           title "t" {{
             home = 0
-            spread = {NODES}
+            spread = {NODE_COUNT}
           }}
         }}
         "#
     );
-    let plan: ServerConfig = parse("measure", &text).map_err(|e| {
+    let config: ServerConfig = parse("measure", &text).map_err(|e| {
         std::io::Error::other(
             e.iter()
                 .map(ToString::to_string)
@@ -150,5 +152,5 @@
                 .join("; "),
         )
     })?;
-    hcl::to_string(&plan).map_err(std::io::Error::other)
+    hcl::to_string(&config).map_err(std::io::Error::other)
 }
--- a/crates/load-test/src/tenants.rs
+++ b/crates/load-test/src/tenants.rs
@@ -1,8 +1,8 @@
-//! What a quiet tenant of a shared front notices of the others, each beside it alone in one run; and what idle
-//! tenants cost.
+//! Measures the effect of other tenants on a quiet tenant of the same director, one neighbour at a time, and the cost of
+//! idle tenants.
 
 use crate::load::{self, Outcome, Plan};
-use crate::{Front, nodes};
+use crate::{ServerProcess, nodes};
 use shalewall_http::Limits;
 use shalewall_http::client::Call;
 use shalewall_http::pool::Pool;
@@ -15,28 +15,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What the front is told that it can do; each of the two tenants has half of it.
-const SET_UPS: f64 = 2000.0;
-/// The quiet tenant's rate, a quarter of its half.
-const QUIET: f64 = 250.0;
+/// Configured capacity of the director; each of the two tenants has half of it.
+const SET_UPS_PER_S: f64 = 2000.0;
+/// The quiet tenant's load, a quarter of its share.
+const QUIET_SET_UPS_PER_S: f64 = 250.0;
 
+/// The administration service and a director that gets its tenants from there.
 struct Service {
-    admin: Front,
-    front: Front,
+    admin: ServerProcess,
+    director: ServerProcess,
     token: String,
-    _dir: Files,
+    _dir: TemporaryDirectory,
 }
 
-/// A folder of this run's own, removed with it.
-struct Files(std::path::PathBuf);
+/// A directory that is removed on drop.
+struct TemporaryDirectory(std::path::PathBuf);
 
-impl Drop for Files {
+impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn call(
+fn call_admin(
     to: SocketAddr,
     token: &str,
     method: &str,
@@ -59,46 +60,49 @@
 }
 
 impl Service {
-    fn start(program: &Path, world: &nodes::Addresses) -> std::io::Result<Service> {
+    fn start(program: &Path, addresses: &nodes::Addresses) -> std::io::Result<Service> {
         let dir = std::env::temp_dir().join(format!("shalewall-tenants-{}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
-        let files = Files(dir.clone());
+        let directory = TemporaryDirectory(dir.clone());
         let (store, file) = (dir.join("tenants.redb"), dir.join("token"));
-        let shown = Command::new(program)
+        let output = Command::new(program)
             .args(["store", "token"])
             .arg(&store)
             .arg("operator")
             .output()?;
-        let token = String::from_utf8_lossy(&shown.stdout).trim().to_string();
+        let token = String::from_utf8_lossy(&output.stdout).trim().to_string();
         std::fs::write(&file, &token)?;
-        let plan = dir.join("admin.hcl");
+        let config = dir.join("admin.hcl");
         std::fs::write(
-            &plan,
+            &config,
             format!("admin {{\n  listen = \"127.0.0.1:0\"\n  store = {store:?}\n}}\n"),
         )?;
-        let admin = Front::start(
+        let admin = ServerProcess::start(
             Command::new(program)
                 .arg("admin")
                 .arg("--config")
-                .arg(&plan),
+                .arg(&config),
         )?;
         let hosting = format!(
-            "hosting {{\n  admin = \"{}\"\n  token_file = {file:?}\n  set_ups_per_s = {SET_UPS}\n}}\n",
+            "hosting {{\n  admin = \"{}\"\n  token_file = {file:?}\n  set_ups_per_s = {SET_UPS_PER_S}\n}}\n",
             admin.address
         );
-        let plan = dir.join("front.hcl");
-        std::fs::write(&plan, nodes::front_settings(world.list)? + &hosting)?;
-        let front = Front::start(
+        let config = dir.join("front.hcl");
+        std::fs::write(
+            &config,
+            nodes::director_settings(addresses.list)? + &hosting,
+        )?;
+        let director = ServerProcess::start(
             Command::new(program)
                 .arg("serve")
                 .arg("--config")
-                .arg(&plan),
+                .arg(&config),
         )?;
         let service = Service {
             admin,
-            front,
+            director,
             token,
-            _dir: files,
+            _dir: directory,
         };
         service.create(&["quiet".to_string(), "loud".to_string()], 1.0)?;
         thread::sleep(Duration::from_millis(700));
@@ -112,7 +116,7 @@
                 r#"{{ "display_name": "{id}", "share": {share}, "classes": {{ "report": {class} }} }}"#
             );
             let body = format!(r#"{{ "id": "{id}", "terms": {terms} }}"#);
-            let status = call(self.admin.address, &self.token, "POST", "/tenants", &body)?;
+            let status = call_admin(self.admin.address, &self.token, "POST", "/tenants", &body)?;
             if status != 201 {
                 return Err(std::io::Error::other(format!("{id}: {status}")));
             }
@@ -120,23 +124,23 @@
         Ok(())
     }
 
-    fn quiet(&self, seconds: u64) -> (Outcome, f64) {
-        let before = self.front.cpu();
-        let time = Duration::from_secs(seconds);
+    fn measure_quiet_tenant(&self, seconds: u64) -> (Outcome, f64) {
+        let before = self.director.cpu();
+        let duration = Duration::from_secs(seconds);
         let plan = Plan {
-            front: self.front.address,
-            rate: Some(QUIET),
-            time,
+            director: self.director.address,
+            rate: Some(QUIET_SET_UPS_PER_S),
+            duration,
             connections: 16,
             tenant: Some("quiet"),
         };
         let outcome = load::run(&plan);
-        (outcome, (self.front.cpu() - before) / seconds as f64)
+        (outcome, (self.director.cpu() - before) / seconds as f64)
     }
 }
 
-/// A neighbour that goes on until it is told to stop; `work` is called again and again.
-fn neighbour(
+/// Calls `work` in a loop on each of some threads until `stop` is set.
+fn spawn_neighbour(
     stop: &Arc<AtomicBool>,
     threads: usize,
     work: impl Fn(&AtomicBool) + Send + Sync + 'static,
@@ -152,21 +156,21 @@
     }
 }
 
-/// Connections held open: one byte of a head a second, or a body that never ends.
-fn hold(front: SocketAddr, stop: &AtomicBool) {
-    let mut open: Vec<TcpStream> = Vec::new();
+/// Holds 200 connections open for 3.5 s: half of them send a request head byte by byte, half send a body without end.
+fn hold_connections(director: SocketAddr, stop: &AtomicBool) {
+    let mut streams: Vec<TcpStream> = Vec::new();
     let body = "POST /sessions HTTP/1.1\r\nHost: x\r\nContent-Length: 65000\r\n\r\n";
     for i in 0..200 {
-        let Ok(mut stream) = TcpStream::connect(front) else {
+        let Ok(mut stream) = TcpStream::connect(director) else {
             break;
         };
         let _ = stream.set_nonblocking(true);
         let _ = stream.write_all(if i % 2 == 0 { b"G" } else { body.as_bytes() });
-        open.push(stream);
+        streams.push(stream);
     }
-    let until = Instant::now() + Duration::from_millis(3500);
-    while Instant::now() < until && !stop.load(Ordering::Relaxed) {
-        for (i, stream) in open.iter_mut().enumerate() {
+    let deadline = Instant::now() + Duration::from_millis(3500);
+    while Instant::now() < deadline && !stop.load(Ordering::Relaxed) {
+        for (i, stream) in streams.iter_mut().enumerate() {
             let bytes: &[u8] = if i % 2 == 0 { b"E" } else { &[b'x'; 8000] };
             let _ = stream.write(bytes);
             let _ = stream.read(&mut [0; 512]);
@@ -175,77 +179,79 @@
     }
 }
 
-/// Rounds of the quiet tenant alone and beside each neighbour, in turn.
+/// Measures the quiet tenant alone and beside each neighbour, in turn, for some rounds.
 pub fn run(program: &Path, seconds: u64, rounds: usize) -> std::io::Result<()> {
-    let world = nodes::start()?;
-    let service = Service::start(program, &world)?;
-    let front = service.front.address;
+    let addresses = nodes::start()?;
+    let service = Service::start(program, &addresses)?;
+    let director = service.director.address;
     println!(
-        "| quiet tenant, {QUIET} a second | done | not played | p50 us | p99 us | front's CPU |"
+        "| quiet tenant, {QUIET_SET_UPS_PER_S} a second | done | not played | p50 us | p99 us | front's CPU |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
-    let row = |name: &str, (outcome, cpu): (Outcome, f64)| {
-        let us = |q: f64| outcome.waits.value_at_quantile(q);
-        let all = outcome.set_ups + outcome.wrong;
+    let print_row = |name: &str, (outcome, cpu): (Outcome, f64)| {
+        let latency_us = |q: f64| outcome.latencies_us.value_at_quantile(q);
+        let total = outcome.set_ups + outcome.errors;
         println!(
             "| {name} | {} | {:.2}% | {} | {} | {:.0}% |",
             outcome.set_ups,
-            outcome.wrong as f64 * 100.0 / all.max(1) as f64,
-            us(0.5),
-            us(0.99),
+            outcome.errors as f64 * 100.0 / total.max(1) as f64,
+            latency_us(0.5),
+            latency_us(0.99),
             cpu * 100.0
         );
     };
-    // Idle tenants first, in a front that has done nothing else yet.
-    row("among 2 tenants", service.quiet(seconds));
-    let empty = service.front.memory();
-    let began = Instant::now();
-    // With a thousandth of a share each, so that the two keep a third of the front each.
+    // Idle tenants come first, while the director has held nothing else in memory yet.
+    print_row("among 2 tenants", service.measure_quiet_tenant(seconds));
+    let memory_at_start = service.director.memory();
+    let started_at = Instant::now();
+    // A thousandth of a share each, so that the two other tenants keep a third of the capacity each.
     service.create(
         &(0..1000).map(|i| format!("idle-{i}")).collect::<Vec<_>>(),
         0.001,
     )?;
     println!(
         "\n1,000 tenants made in {:.1} s, one call and one transaction each",
-        began.elapsed().as_secs_f64()
+        started_at.elapsed().as_secs_f64()
     );
     thread::sleep(Duration::from_millis(500));
-    let now = service.front.memory();
-    row("among 1,002 tenants", service.quiet(seconds));
-    row("among 1,002 tenants", service.quiet(seconds));
-    println!("front's memory: {empty:.0} kB among 2 tenants, {now:.0} kB among 1,002");
-    let beside = |name: &str, begin: &dyn Fn(&Arc<AtomicBool>)| {
-        row("alone", service.quiet(seconds));
+    let memory_with_idle_tenants = service.director.memory();
+    print_row("among 1,002 tenants", service.measure_quiet_tenant(seconds));
+    print_row("among 1,002 tenants", service.measure_quiet_tenant(seconds));
+    println!(
+        "front's memory: {memory_at_start:.0} kB among 2 tenants, {memory_with_idle_tenants:.0} kB among 1,002"
+    );
+    let measure_beside = |name: &str, begin: &dyn Fn(&Arc<AtomicBool>)| {
+        print_row("alone", service.measure_quiet_tenant(seconds));
         let stop = Arc::new(AtomicBool::new(false));
         begin(&stop);
         thread::sleep(Duration::from_millis(500));
-        row(name, service.quiet(seconds));
+        print_row(name, service.measure_quiet_tenant(seconds));
         stop.store(true, Ordering::Relaxed);
         thread::sleep(Duration::from_millis(4500));
     };
     for _ in 0..rounds {
-        beside("beside one at ten times its share", &|stop| {
-            neighbour(stop, 1, move |_| {
-                let (rate, time) = (Some(10.0 * SET_UPS / 2.0), Duration::from_secs(1));
+        measure_beside("beside one at ten times its share", &|stop| {
+            spawn_neighbour(stop, 1, move |_| {
+                let (rate, duration) = (Some(10.0 * SET_UPS_PER_S / 2.0), Duration::from_secs(1));
                 load::run(&Plan {
-                    front,
+                    director,
                     rate,
-                    time,
+                    duration,
                     connections: 64,
                     tenant: Some("loud"),
                 });
             });
         });
-        beside(
+        measure_beside(
             "beside 800 connections, slow heads, bodies without end",
             &|stop| {
-                neighbour(stop, 4, move |stop| hold(front, stop));
+                spawn_neighbour(stop, 4, move |stop| hold_connections(director, stop));
             },
         );
-        beside("beside one that hammers the administration", &|stop| {
+        measure_beside("beside one that hammers the administration", &|stop| {
             let (admin, token) = (service.admin.address, service.token.clone());
-            neighbour(stop, 1, move |_| {
-                drop(call(admin, &token, "GET", "/tenants/loud", ""))
+            spawn_neighbour(stop, 1, move |_| {
+                drop(call_admin(admin, &token, "GET", "/tenants/loud", ""))
             });
         });
     }
