--- a/crates/behavior-digest/src/decisions.rs
+++ b/crates/behavior-digest/src/decisions.rs
@@ -1,5 +1,5 @@
-//! Digest of the decision module: every action of `shalewall::Director`, and what it believes of the servers, over
-//! random legal events under several settings.
+//! Digest of the decision module: every action of `shalewall::Director` and its estimates of the servers, for random valid
+//! events under several settings.
 
 use crate::encoder::{Encoder, PartDigest};
 use crate::random::Random;
@@ -9,11 +9,11 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 const SEEDS: u64 = 200;
-const EVENTS: u64 = 500;
+const EVENT_COUNT: u64 = 500;
 const SERVERS: u64 = 5;
 const TITLES: u64 = 6;
-/// The servers' beliefs are hashed after so many events.
-const BELIEFS_EVERY: u64 = 20;
+/// Number of events after which the estimates of the servers are hashed.
+const ESTIMATES_INTERVAL_EVENTS: u64 = 20;
 
 /// Runs all cases.
 pub fn digest() -> PartDigest {
@@ -35,7 +35,7 @@
         (1200.0, 0.85),
         (2000.0, 1.0),
     ];
-    let harmless = ClassSettings {
+    let idempotent_class = ClassSettings {
         idempotency: Idempotency::Idempotent,
         latency_objective: shalewall::TimeDelta::from_micros(SECOND),
         priority_weight: 1.0,
@@ -43,22 +43,22 @@
         highest_rung: 4,
         ..Default::default()
     };
-    let paid = ClassSettings {
+    let paid_class = ClassSettings {
         idempotency: Idempotency::AtMostOnce,
         priority_weight: 2.0,
         lowest_rung: 1,
         session_limit_per_title: 3,
-        ..harmless
+        ..idempotent_class
     };
-    let live = ClassSettings {
+    let live_class = ClassSettings {
         is_live: true,
         rate_scale: 0.8,
         session_limit_per_title: 0,
-        ..harmless
+        ..idempotent_class
     };
     Settings {
         director_count: 1,
-        classes: vec![harmless, paid, live],
+        classes: vec![idempotent_class, paid_class, live_class],
         ladder: ladder
             .iter()
             .map(|(kb, worth)| Rung {
@@ -96,10 +96,10 @@
     }
 }
 
-/// The base and what differs from it in one respect or a few.
+/// The base settings and variants that differ from them in a few fields each.
 fn all_settings() -> Vec<Settings> {
     let base = base_settings();
-    let ration = RetryBudget {
+    let retry_budget = RetryBudget {
         base: 1.0,
         per_request: 0.05,
         window: shalewall::TimeDelta::from_micros(10 * SECOND),
@@ -121,7 +121,9 @@
         change(&mut settings);
         variants.push(settings);
     };
-    variant(&|s| (s.director_count, s.director_index, s.rules.retry_budget) = (2, 1, Some(ration)));
+    variant(&|s| {
+        (s.director_count, s.director_index, s.rules.retry_budget) = (2, 1, Some(retry_budget))
+    });
     variant(&|s| (s.tenants, s.over_quota_weight) = (tenants.clone(), 0.4));
     variant(&|s| {
         (
@@ -143,33 +145,34 @@
     variant(&|s| (s.link_kb_s_per_weight, s.fleet_kb_s, s.rack_uplink_kb_s) = (0.0, 40_000.0, 0.0));
     variant(&|s| (s.weight_is_capacity, s.stall_penalty, s.join_rate_fraction) = (false, 0.0, 0.2));
     variant(&|s| {
-        (s.director_count, s.tenants, s.rules.retry_budget) = (50, tenants.clone(), Some(ration));
+        (s.director_count, s.tenants, s.rules.retry_budget) =
+            (50, tenants.clone(), Some(retry_budget));
         (s.limits.can_check_health, s.must_poll_endpoints, s.zone) = (true, true, Some(1));
     });
     variants
 }
 
-/// What the script knows of a session.
+/// The state of a session as the script sees it.
 struct SessionState {
     class: usize,
     /// Attempts sent so far.
-    sends: u32,
-    /// Server of the attempt that is out or plays.
+    attempts_sent: u32,
+    /// Server of the attempt that is in flight or playing.
     server: Option<ServerId>,
-    plays: bool,
-    answered: bool,
-    /// A hand-over that has not ended.
-    handing_over: Option<ServerId>,
+    is_playing: bool,
+    is_answered: bool,
+    /// Target of a migration that has not finished.
+    migration_target: Option<ServerId>,
 }
 
-/// What is due at some time.
+/// An event that is queued for a time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Timer(u64),
     AttemptExpires(u64, u32),
-    Recalled(u64, u32),
-    ProbeAnswer(ServerId),
-    ListAnswer,
+    FinishCancellation(u64, u32),
+    FinishHealthCheck(ServerId),
+    AnswerPoll,
 }
 
 /// One run of a director.
@@ -180,15 +183,15 @@
     random: Random,
     now: Micros,
     sessions: BTreeMap<u64, SessionState>,
-    due: BTreeSet<(Micros, u64, Due)>,
-    queued: u64,
+    queue: BTreeSet<(Micros, u64, ScheduledEvent)>,
+    event_count: u64,
     next_session: u64,
-    lines: BTreeMap<u64, Endpoint>,
+    endpoints: BTreeMap<u64, Endpoint>,
 }
 
 impl<'e> Script<'e> {
     fn new(seed: u64, settings: Settings, encoder: &'e mut Encoder) -> Script<'e> {
-        let lines = (1..=SERVERS).map(|id| (id, line(id))).collect();
+        let endpoints = (1..=SERVERS).map(|id| (id, endpoint(id))).collect();
         Script {
             director: Director::new(seed, settings.clone(), shalewall::Timestamp::from_micros(0)),
             settings,
@@ -196,59 +199,56 @@
             random: Random::new(seed),
             now: 0,
             sessions: BTreeMap::new(),
-            due: BTreeSet::new(),
-            queued: 0,
+            queue: BTreeSet::new(),
+            event_count: 0,
             next_session: 1,
-            lines,
+            endpoints,
         }
     }
 
     fn run(mut self) {
         self.start();
-        for number in 0..EVENTS {
+        for number in 0..EVENT_COUNT {
             let until = self.now + self.random.between(1, 200) * MILLISECOND;
-            self.pass(until);
+            self.advance_to(until);
             self.draw_event();
-            if number % BELIEFS_EVERY == 0 {
-                self.encode_beliefs();
+            if number % ESTIMATES_INTERVAL_EVENTS == 0 {
+                self.encode_estimates();
             }
         }
-        self.pass(self.now + 30 * SECOND);
-        self.encode_beliefs();
+        self.advance_to(self.now + 30 * SECOND);
+        self.encode_estimates();
     }
 
-    /// The list as the director last held it, or all of it, and sometimes sessions of an earlier process.
+    /// Delivers the endpoint list, cached or current, and sometimes sessions of an earlier process.
     fn start(&mut self) {
-        let news = if self.random.percent(50) {
+        let update = if self.random.percent(50) {
             EndpointUpdate::Cached
         } else {
             EndpointUpdate::Full
         };
-        let lines = self.lines.values().copied().collect();
-        self.tell(Event::EndpointsUpdated {
-            update: news,
-            endpoints: lines,
-        });
+        let endpoints = self.endpoints.values().copied().collect();
+        self.deliver_event(Event::EndpointsUpdated { update, endpoints });
         for _ in 0..self.random.below(4) {
             let request = self.draw_request();
             let server = ServerId(self.random.below(SERVERS) + 1);
             let state = SessionState {
                 class: request.class,
-                sends: 1,
+                attempts_sent: 1,
                 server: Some(server),
-                plays: true,
-                answered: false,
-                handing_over: None,
+                is_playing: true,
+                is_answered: false,
+                migration_target: None,
             };
             self.sessions.insert(request.session.0, state);
-            self.tell(Event::SessionTransferred(request, server));
+            self.deliver_event(Event::SessionTransferred(request, server));
         }
         if self.random.percent(50) {
             self.now = 60 * SECOND;
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn deliver_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.director.handle(
             shalewall::Timestamp::from_micros(self.now),
@@ -261,57 +261,62 @@
             encode_action(self.encoder, action);
         }
         for action in actions {
-            self.carry_out(action);
+            self.apply_action(action);
         }
     }
 
-    fn schedule(&mut self, after: Micros, due: Due) {
-        self.queued += 1;
-        self.due.insert((self.now + after.max(1), self.queued, due));
+    fn schedule(&mut self, after: Micros, event: ScheduledEvent) {
+        self.event_count += 1;
+        self.queue
+            .insert((self.now + after.max(1), self.event_count, event));
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::StartAttempt {
                 session,
                 server,
-                attempt_timeout: patience,
+                attempt_timeout,
             } => {
                 let Some(state) = self.sessions.get_mut(&session.0) else {
                     return;
                 };
                 state.server = Some(server);
-                state.sends += 1;
-                let attempt = state.sends - 1;
-                if let Some(patience) = patience {
+                state.attempts_sent += 1;
+                let attempt = state.attempts_sent - 1;
+                if let Some(attempt_timeout) = attempt_timeout {
                     self.schedule(
-                        patience.as_micros(),
-                        Due::AttemptExpires(session.0, attempt),
+                        attempt_timeout.as_micros(),
+                        ScheduledEvent::AttemptExpires(session.0, attempt),
                     );
                 }
             }
-            Action::Reject { session, .. } | Action::Fail { session } => self.answered(session.0),
+            Action::Reject { session, .. } | Action::Fail { session } => {
+                self.mark_answered(session.0)
+            }
             Action::CancelAttempt { session, attempt } => {
-                self.schedule(1, Due::Recalled(session.0, attempt))
+                self.schedule(1, ScheduledEvent::FinishCancellation(session.0, attempt))
+            }
+            Action::Redirect { session } => {
+                self.schedule(1, ScheduledEvent::FinishCancellation(session.0, u32::MAX))
             }
-            Action::Redirect { session } => self.schedule(1, Due::Recalled(session.0, u32::MAX)),
             Action::Migrate {
                 session, server, ..
             } => {
                 if let Some(state) = self.sessions.get_mut(&session.0) {
-                    state.handing_over = Some(server);
+                    state.migration_target = Some(server);
                 }
             }
             Action::SetTimer { after, token } => {
-                self.schedule(after.as_micros(), Due::Timer(token))
+                self.schedule(after.as_micros(), ScheduledEvent::Timer(token))
             }
             Action::CheckHealth { server } => {
                 let after = self.random.between(1, 80) * MILLISECOND;
-                self.schedule(after, Due::ProbeAnswer(server));
+                self.schedule(after, ScheduledEvent::FinishHealthCheck(server));
             }
             Action::PollEndpoints => {
                 let after = self.random.between(1, 60) * MILLISECOND;
-                self.schedule(after, Due::ListAnswer);
+                self.schedule(after, ScheduledEvent::AnswerPoll);
             }
             Action::SetRung { .. }
             | Action::WatchEndpoints(_)
@@ -321,71 +326,74 @@
         }
     }
 
-    fn answered(&mut self, session: u64) {
+    fn mark_answered(&mut self, session: u64) {
         let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        state.answered = true;
+        state.is_answered = true;
         if state.server.is_none() {
             self.sessions.remove(&session);
         }
     }
 
-    /// Time passes up to `until`, and what is due by then happens in order.
-    fn pass(&mut self, until: Micros) {
-        while let Some((at, _, due)) = self.due.first().copied().filter(|(at, ..)| *at <= until) {
-            self.due.pop_first();
+    /// Dispatches the events that are due by `until`, in order of time.
+    fn advance_to(&mut self, until: Micros) {
+        while let Some((at, _, event)) = self.queue.first().copied().filter(|(at, ..)| *at <= until)
+        {
+            self.queue.pop_first();
             self.now = at;
-            self.happen(due);
+            self.dispatch(event);
         }
         self.now = until;
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Timer(token) => self.tell(Event::TimerFired(token)),
-            Due::AttemptExpires(session, attempt) => {
-                let out =
-                    |s: &SessionState| s.sends == attempt + 1 && !s.plays && s.server.is_some();
-                if self.sessions.get(&session).is_some_and(out) {
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Timer(token) => self.deliver_event(Event::TimerFired(token)),
+            ScheduledEvent::AttemptExpires(session, attempt) => {
+                let is_in_flight = |s: &SessionState| {
+                    s.attempts_sent == attempt + 1 && !s.is_playing && s.server.is_some()
+                };
+                if self.sessions.get(&session).is_some_and(is_in_flight) {
                     self.finish(session, Outcome::TimedOut);
                 }
             }
-            Due::Recalled(session, attempt) => {
-                let same = |s: &SessionState| attempt == u32::MAX || s.sends == attempt + 1;
+            ScheduledEvent::FinishCancellation(session, attempt) => {
+                let is_latest =
+                    |s: &SessionState| attempt == u32::MAX || s.attempts_sent == attempt + 1;
                 if self
                     .sessions
                     .get(&session)
-                    .is_some_and(|s| s.server.is_some() && same(s))
+                    .is_some_and(|s| s.server.is_some() && is_latest(s))
                 {
                     self.finish(session, Outcome::Cancelled);
                 }
             }
-            Due::ProbeAnswer(server) => {
+            ScheduledEvent::FinishHealthCheck(server) => {
                 let outcome = self.random.pick(&[
                     Outcome::Success,
                     Outcome::Success,
                     Outcome::TimedOut,
                     Outcome::Rejected,
                 ]);
-                let load = self.draw_load();
-                self.tell(Event::HealthCheckFinished {
+                let load_report = self.draw_load_report();
+                self.deliver_event(Event::HealthCheckFinished {
                     server,
                     outcome,
-                    load_report: load,
+                    load_report,
                 });
             }
-            Due::ListAnswer if self.random.percent(20) => {
-                self.tell(Event::EndpointsUpdated {
+            ScheduledEvent::AnswerPoll if self.random.percent(20) => {
+                self.deliver_event(Event::EndpointsUpdated {
                     update: EndpointUpdate::Failed,
                     endpoints: Vec::new(),
                 });
             }
-            Due::ListAnswer => {
-                let lines = self.lines.values().copied().collect();
-                self.tell(Event::EndpointsUpdated {
+            ScheduledEvent::AnswerPoll => {
+                let endpoints = self.endpoints.values().copied().collect();
+                self.deliver_event(Event::EndpointsUpdated {
                     update: EndpointUpdate::Full,
-                    endpoints: lines,
+                    endpoints,
                 });
             }
         }
@@ -393,23 +401,23 @@
 
     fn draw_event(&mut self) {
         match self.random.below(100) {
-            0..=34 => self.ask(),
+            0..=34 => self.send_request(),
             35..=62 => self.attempt_ends(),
             63..=72 => self.session_ends(),
-            73..=77 => self.list_changes(),
-            78..=86 => self.note(),
-            87..=91 => self.hand_over(),
-            92..=95 => self.hand_over_ends(),
+            73..=77 => self.change_endpoint(),
+            78..=86 => self.notify(),
+            87..=91 => self.request_migration(),
+            92..=95 => self.finish_migration(),
             96 => self.withdraw(),
             97 => {
                 let server = ServerId(self.random.below(SERVERS) + 1);
-                self.tell(Event::ServerSilent(server));
+                self.deliver_event(Event::ServerSilent(server));
             }
-            98 => self.change_terms(),
+            98 => self.update_settings(),
             _ => {
                 let body = vec![self.random.below(256) as u8; 3];
                 let from = self.random.below(3) as u32;
-                self.tell(Event::PeerMessage { from, body });
+                self.deliver_event(Event::PeerMessage { from, body });
             }
         }
     }
@@ -420,7 +428,7 @@
         let random = &mut self.random;
         let classes = self.settings.classes.len();
         let tenants = self.settings.tenants.len();
-        // One in two hundred names a class that does not exist.
+        // One in 200 requests names a class that does not exist.
         let class = if random.below(200) == 0 {
             classes
         } else {
@@ -450,42 +458,42 @@
         }
     }
 
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let request = self.draw_request();
         let state = SessionState {
             class: request.class,
-            sends: 0,
+            attempts_sent: 0,
             server: None,
-            plays: false,
-            answered: false,
-            handing_over: None,
+            is_playing: false,
+            is_answered: false,
+            migration_target: None,
         };
         self.sessions.insert(request.session.0, state);
-        self.tell(Event::RequestReceived(request));
+        self.deliver_event(Event::RequestReceived(request));
     }
 
-    /// One of the sessions for which `which` holds.
-    fn draw_session(&mut self, which: impl Fn(&SessionState) -> bool) -> Option<u64> {
-        let found: Vec<u64> = self
+    /// A random one of the sessions that match the predicate.
+    fn draw_session(&mut self, predicate: impl Fn(&SessionState) -> bool) -> Option<u64> {
+        let matching: Vec<u64> = self
             .sessions
             .iter()
-            .filter(|(_, s)| which(s))
+            .filter(|(_, s)| predicate(s))
             .map(|(id, _)| *id)
             .collect();
-        if found.is_empty() {
+        if matching.is_empty() {
             None
         } else {
-            Some(found[self.random.index(found.len())])
+            Some(matching[self.random.index(matching.len())])
         }
     }
 
     fn attempt_ends(&mut self) {
-        let Some(id) = self.draw_session(|s| s.server.is_some() && !s.plays) else {
+        let Some(id) = self.draw_session(|s| s.server.is_some() && !s.is_playing) else {
             return;
         };
         let state = &self.sessions[&id];
-        if !state.answered && self.random.percent(65) {
-            return self.started(id);
+        if !state.is_answered && self.random.percent(65) {
+            return self.start_session(id);
         }
         let outcome = self.random.pick(&[
             Outcome::Rejected,
@@ -498,24 +506,24 @@
         self.finish(id, outcome);
     }
 
-    fn started(&mut self, id: u64) {
-        let waited = self.random.between(20, 300) * MILLISECOND;
+    fn start_session(&mut self, id: u64) {
+        let setup_time = self.random.between(20, 300) * MILLISECOND;
         let Some(state) = self.sessions.get_mut(&id) else {
             return;
         };
         let Some(server) = state.server else { return };
-        state.plays = true;
-        let attempt = state.sends - 1;
-        self.tell(Event::SessionStarted {
+        state.is_playing = true;
+        let attempt = state.attempts_sent - 1;
+        self.deliver_event(Event::SessionStarted {
             session: SessionId(id),
             attempt,
             server,
-            setup_time: shalewall::TimeDelta::from_micros(waited),
+            setup_time: shalewall::TimeDelta::from_micros(setup_time),
         });
     }
 
     fn session_ends(&mut self) {
-        let Some(id) = self.draw_session(|s| s.plays) else {
+        let Some(id) = self.draw_session(|s| s.is_playing) else {
             return;
         };
         let outcome = self.random.pick(&[
@@ -528,46 +536,46 @@
     }
 
     fn finish(&mut self, id: u64, outcome: Outcome) {
-        let load = self.draw_load();
+        let load_report = self.draw_load_report();
         let Some(state) = self.sessions.get_mut(&id) else {
             return;
         };
         let Some(server) = state.server.take() else {
             return;
         };
-        let closed = state.plays || state.answered;
-        let handing_over = state.handing_over.is_some();
-        let attempt = state.sends - 1;
-        if closed {
+        let is_answered = state.is_playing || state.is_answered;
+        let is_migrating = state.migration_target.is_some();
+        let attempt = state.attempts_sent - 1;
+        if is_answered {
             self.sessions.remove(&id);
         }
         let session = SessionId(id);
-        self.tell(Event::AttemptFinished {
+        self.deliver_event(Event::AttemptFinished {
             session,
             attempt,
             server,
             outcome,
-            is_answered: closed,
-            load_report: load,
+            is_answered,
+            load_report,
         });
-        if handing_over {
-            self.tell(Event::MigrationFinished {
+        if is_migrating {
+            self.deliver_event(Event::MigrationFinished {
                 session,
                 migrated: false,
             });
         }
     }
 
-    fn draw_load(&mut self) -> LoadReport {
+    fn draw_load_report(&mut self) -> LoadReport {
         let random = &mut self.random;
         LoadReport {
             streams: random.percent(30).then(|| random.below(30) as f64),
-            link_utilization: random.percent(70).then(|| random.share()),
-            uplink_utilization: random.percent(50).then(|| random.share()),
+            link_utilization: random.percent(70).then(|| random.utilization()),
+            uplink_utilization: random.percent(50).then(|| random.utilization()),
         }
     }
 
-    fn list_changes(&mut self) {
+    fn change_endpoint(&mut self) {
         let id = self.random.below(SERVERS) + 1;
         let random = &mut self.random;
         let state = random.pick(&[
@@ -578,82 +586,82 @@
         ]);
         let restarted = state == EndpointState::Ready && random.percent(40);
         let weight = random.pick(&[0.5, 1.0, 1.0, 2.0]);
-        let old = self.lines[&id];
-        let came_up = if restarted {
+        let old = self.endpoints[&id];
+        let started_at = if restarted {
             Some(self.now)
         } else {
             old.started_at.map(shalewall::Timestamp::as_micros)
         };
-        let changed = Endpoint {
+        let endpoint = Endpoint {
             state,
-            started_at: came_up.map(shalewall::Timestamp::from_micros),
+            started_at: started_at.map(shalewall::Timestamp::from_micros),
             weight,
             ..old
         };
-        self.lines.insert(id, changed);
-        self.tell(Event::EndpointsUpdated {
+        self.endpoints.insert(id, endpoint);
+        self.deliver_event(Event::EndpointsUpdated {
             update: EndpointUpdate::Delta,
-            endpoints: vec![changed],
+            endpoints: vec![endpoint],
         });
     }
 
-    fn note(&mut self) {
-        let Some(id) = self.draw_session(|s| s.plays) else {
+    fn notify(&mut self) {
+        let Some(id) = self.draw_session(|s| s.is_playing) else {
             return;
         };
         let random = &mut self.random;
-        let note = match random.below(4) {
+        let notification = match random.below(4) {
             0 => Notification::DeliveredFraction(if random.percent(25) { 0.8 } else { 1.0 }),
-            1 => Notification::LinkUtilization(random.share()),
-            2 => Notification::UplinkUtilization(random.share()),
+            1 => Notification::LinkUtilization(random.utilization()),
+            2 => Notification::UplinkUtilization(random.utilization()),
             _ => Notification::CurrentRung(random.index(5)),
         };
         let state = &self.sessions[&id];
         let Some(server) = state.server else { return };
-        let attempt = state.sends - 1;
-        self.tell(Event::Notified {
+        let attempt = state.attempts_sent - 1;
+        self.deliver_event(Event::Notified {
             session: SessionId(id),
             attempt,
             server,
-            notification: note,
+            notification,
         });
     }
 
-    fn hand_over(&mut self) {
-        let Some(id) = self.draw_session(|s| s.plays && s.handing_over.is_none()) else {
+    fn request_migration(&mut self) {
+        let Some(id) = self.draw_session(|s| s.is_playing && s.migration_target.is_none()) else {
             return;
         };
-        self.tell(Event::MigrationRequested(SessionId(id)));
+        self.deliver_event(Event::MigrationRequested(SessionId(id)));
     }
 
-    fn hand_over_ends(&mut self) {
-        let Some(id) = self.draw_session(|s| s.handing_over.is_some()) else {
+    fn finish_migration(&mut self) {
+        let Some(id) = self.draw_session(|s| s.migration_target.is_some()) else {
             return;
         };
-        let moved = self.random.percent(70);
+        let migrated = self.random.percent(70);
         let Some(state) = self.sessions.get_mut(&id) else {
             return;
         };
-        let target = state.handing_over.take();
-        if moved {
+        let target = state.migration_target.take();
+        if migrated {
             state.server = target;
         }
-        self.tell(Event::MigrationFinished {
+        self.deliver_event(Event::MigrationFinished {
             session: SessionId(id),
-            migrated: moved,
+            migrated,
         });
     }
 
     fn withdraw(&mut self) {
-        let Some(id) = self.draw_session(|s| !s.plays && !s.answered) else {
+        let Some(id) = self.draw_session(|s| !s.is_playing && !s.is_answered) else {
             return;
         };
-        self.answered(id);
-        self.tell(Event::RequestWithdrawn(SessionId(id)));
+        self.mark_answered(id);
+        self.deliver_event(Event::RequestWithdrawn(SessionId(id)));
     }
 
-    /// Classes keep their numbers; their worth and seats change, and so do the tenants' parts.
-    fn change_terms(&mut self) {
+    /// Changes the classes' priority weights and session limits and the tenants' quotas. The classes keep their indices.
+    fn update_settings(&mut self) {
         let mut classes = self.settings.classes.clone();
         let mut tenants = self.settings.tenants.clone();
         for class in &mut classes {
@@ -663,26 +671,26 @@
         for tenant in &mut tenants {
             tenant.fleet_quota = self.random.pick(&[0.0, 0.2, 0.4]);
         }
-        self.tell(Event::SettingsUpdated { classes, tenants });
+        self.deliver_event(Event::SettingsUpdated { classes, tenants });
     }
 
-    fn encode_beliefs(&mut self) {
-        for belief in self.director.server_estimates() {
-            self.encoder.u64(belief.server.0);
-            self.encoder.f64(belief.link_utilization);
-            self.encoder.f64(belief.uplink_utilization);
-            self.encoder.u64(u64::from(belief.failures));
-            self.encoder.bool(belief.is_warming_up);
-            self.encoder.bool(belief.is_short);
+    fn encode_estimates(&mut self) {
+        for estimate in self.director.server_estimates() {
+            self.encoder.u64(estimate.server.0);
+            self.encoder.f64(estimate.link_utilization);
+            self.encoder.f64(estimate.uplink_utilization);
+            self.encoder.u64(u64::from(estimate.failures));
+            self.encoder.bool(estimate.is_warming_up);
+            self.encoder.bool(estimate.is_short);
         }
-        let playing = self.sessions.values().filter(|s| s.plays);
+        let playing = self.sessions.values().filter(|s| s.is_playing);
         let classes: usize = playing.map(|s| s.class + 1).sum();
         self.encoder.usize(classes);
     }
 }
 
-/// Server 5 takes requests of a fleet of its own; server 4 is of another kind; zones alternate.
-fn line(id: u64) -> Endpoint {
+/// Server 5 belongs to another fleet, server 4 is of another machine kind, and zones alternate.
+fn endpoint(id: u64) -> Endpoint {
     Endpoint {
         server: ServerId(id),
         zone: Some(id as usize % 2),
@@ -700,12 +708,12 @@
         Action::StartAttempt {
             session,
             server,
-            attempt_timeout: patience,
+            attempt_timeout,
         } => {
             encoder.begin_output(1);
             encoder.u64(session.0);
             encoder.u64(server.0);
-            encoder.option(patience.map(TimeDelta::as_micros), Encoder::i64);
+            encoder.option(attempt_timeout.map(TimeDelta::as_micros), Encoder::i64);
         }
         Action::SetRung { session, rung } => {
             encoder.begin_output(2);
@@ -714,11 +722,11 @@
         }
         Action::Reject {
             session,
-            retry_after: come_back,
+            retry_after,
         } => {
             encoder.begin_output(3);
             encoder.u64(session.0);
-            encoder.option(come_back.map(TimeDelta::as_micros), Encoder::i64);
+            encoder.option(retry_after.map(TimeDelta::as_micros), Encoder::i64);
         }
         Action::Fail { session } => {
             encoder.begin_output(4);
@@ -766,7 +774,7 @@
             encoder.option(*to, |e, to| e.u64(u64::from(to)));
             encoder.bytes(body);
         }
-        // The text of a log line is no behaviour.
+        // Log texts are not behaviour, so only the fact is hashed.
         Action::Log(_) => encoder.begin_output(14),
     }
 }
--- a/crates/behavior-digest/src/encoder.rs
+++ b/crates/behavior-digest/src/encoder.rs
@@ -3,7 +3,7 @@
 //! Integers are eight bytes in little-endian order, floats are their bits, and variable-length data is preceded by its
 //! length, so that two different sequences of values never encode to the same bytes.
 
-/// The result of one part: how much was run and the hash of everything that came out.
+/// The result of one part: the number of cases and outputs and the hash of all outputs.
 pub struct PartDigest {
     pub cases: u64,
     pub outputs: u64,
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Begins a case: one run of a subject from its start under one seed.
+    /// Begins a case: one run of a subject from its initial state under one seed.
     pub fn begin_case(&mut self, settings: usize, seed: u64) {
         self.cases += 1;
         self.u64(settings as u64);
         self.u64(seed);
     }
 
-    /// Begins one output of the subject, told apart from other kinds by its tag.
+    /// Begins one output of the subject. The tag identifies the kind of output.
     pub fn begin_output(&mut self, tag: u8) {
         self.outputs += 1;
         self.tag(tag);
@@ -73,7 +73,7 @@
         self.bytes(text.as_bytes());
     }
 
-    /// An optional value, written by `write` if it is there.
+    /// An optional value, written by `write` if present.
     pub fn option<T>(&mut self, value: Option<T>, write: impl FnOnce(&mut Encoder, T)) {
         self.bool(value.is_some());
         if let Some(value) = value {
--- a/crates/behavior-digest/src/engine.rs
+++ b/crates/behavior-digest/src/engine.rs
@@ -1,5 +1,5 @@
-//! Digest of the engine: every output of `shalewall_engine::Engine` over random inputs in simulated time, from viewers,
-//! players, nodes, the list of servers and the agreements with tenants, with hand-overs and without.
+//! Digest of the engine: every output of `shalewall_engine::Engine` for random inputs in simulated time. The inputs come
+//! from viewers, players, nodes, the endpoint list and the terms of tenants, with migration and without.
 
 use crate::encoder::{Encoder, PartDigest};
 use crate::random::Random;
@@ -17,8 +17,8 @@
 const STEPS: u64 = 500;
 const NODES: u64 = 5;
 const TITLES: u64 = 6;
-/// So many sessions of an earlier process at most are held by each node at the start.
-const MOST_CARRIED: u64 = 3;
+/// Maximum number of sessions of an earlier process that each node holds at the start.
+const MAX_TRANSFERRED_SESSIONS: u64 = 3;
 
 /// Runs all cases.
 pub fn digest() -> PartDigest {
@@ -32,12 +32,12 @@
     encoder.finish()
 }
 
-/// What differs between the configurations.
+/// The differences between the configurations.
 #[derive(Clone, Copy, Default)]
 struct Variant {
-    moves: bool,
+    migration: bool,
     tenants: bool,
-    probes: bool,
+    health_checks: bool,
     one_rung: bool,
 }
 
@@ -45,26 +45,26 @@
     [
         Variant::default(),
         Variant {
-            moves: true,
+            migration: true,
             ..Variant::default()
         },
         Variant {
             tenants: true,
-            probes: true,
+            health_checks: true,
             ..Variant::default()
         },
         Variant {
-            moves: true,
+            migration: true,
             tenants: true,
-            probes: true,
+            health_checks: true,
             one_rung: true,
         },
     ]
 }
 
-fn class_terms(effect: Idempotency, top: usize) -> ClassSettings {
+fn class_terms(idempotency: Idempotency, top: usize) -> ClassSettings {
     ClassSettings {
-        idempotency: effect,
+        idempotency,
         latency_objective: SECOND,
         priority_weight: 1.0,
         rate_scale: 1.0,
@@ -128,7 +128,7 @@
         limits: Limits {
             max_attempts: 4,
             can_cancel: true,
-            can_check_health: variant.probes,
+            can_check_health: variant.health_checks,
             min_batch_interval: 10 * MILLISECOND,
             max_retry_after: SECOND,
             ..Default::default()
@@ -174,23 +174,23 @@
         machine_kinds: vec!["box".into()],
         titles,
         max_sessions: 150,
-        migration: variant.moves.then_some(terms),
+        migration: variant.migration.then_some(terms),
         ..Default::default()
     }
 }
 
-/// Lets in all but a few wishes, by their order alone.
+/// Rejects every twentieth request, and all of one unknown tenant.
 #[derive(Default)]
-struct EveryTwentiethWaits {
-    wishes: u64,
+struct RejectEveryTwentieth {
+    requests: u64,
 }
 
-impl AdmissionControl for EveryTwentiethWaits {
+impl AdmissionControl for RejectEveryTwentieth {
     fn admit(&mut self, _: Timestamp, tenant: Option<&str>) -> Admission {
-        self.wishes += 1;
+        self.requests += 1;
         match tenant {
             Some("nobody") => Admission::UnknownTenant,
-            _ if self.wishes.is_multiple_of(20) => Admission::Rejected {
+            _ if self.requests.is_multiple_of(20) => Admission::Rejected {
                 retry_after: SECOND,
             },
             _ => Admission::Admitted,
@@ -200,14 +200,14 @@
     fn release(&mut self, _: Timestamp, _: Option<&str>) {}
 }
 
-/// What happens at a later time.
-enum Later {
-    CallAnswered(CallId),
-    Tell(Input),
+/// An event that is queued for a time.
+enum ScheduledEvent {
+    FinishCall(CallId),
+    DeliverInput(Input),
 }
 
-/// A call that is out.
-struct Call {
+/// A call without a result yet.
+struct PendingCall {
     server: ServerId,
     kind: CallKind,
 }
@@ -219,14 +219,14 @@
     encoder: &'e mut Encoder,
     random: Random,
     now: Timestamp,
-    later: BTreeMap<(Timestamp, u64), Later>,
-    queued: u64,
-    calls: BTreeMap<CallId, Call>,
-    next_ask: u64,
+    queue: BTreeMap<(Timestamp, u64), ScheduledEvent>,
+    event_count: u64,
+    calls: BTreeMap<CallId, PendingCall>,
+    next_request_id: u64,
     waiting: BTreeSet<RequestId>,
-    /// Sessions that play, with the epoch that each player plays.
+    /// Playing sessions and the epoch of each session's player.
     playing: BTreeMap<SessionId, Epoch>,
-    /// What each node holds.
+    /// The session attempts that each node holds.
     held: BTreeMap<ServerId, BTreeSet<(SessionId, u32)>>,
     down: BTreeSet<ServerId>,
 }
@@ -234,17 +234,17 @@
 impl<'e> Script<'e> {
     fn new(seed: u64, variant: Variant, encoder: &'e mut Encoder) -> Script<'e> {
         let mut engine = Engine::new(config(seed, variant), Timestamp::ZERO);
-        engine.set_admission_control(Box::new(EveryTwentiethWaits::default()));
+        engine.set_admission_control(Box::new(RejectEveryTwentieth::default()));
         Script {
             engine,
             variant,
             encoder,
             random: Random::new(seed),
             now: Timestamp::ZERO,
-            later: BTreeMap::new(),
-            queued: 0,
+            queue: BTreeMap::new(),
+            event_count: 0,
             calls: BTreeMap::new(),
-            next_ask: 0,
+            next_request_id: 0,
             waiting: BTreeSet::new(),
             playing: BTreeMap::new(),
             held: (0..NODES).map(|n| (ServerId(n), BTreeSet::new())).collect(),
@@ -257,48 +257,48 @@
         for _ in 0..STEPS {
             self.step();
             let until = self.now + self.random.between(0, 120) * MILLISECOND;
-            self.pass(until);
+            self.advance_to(until);
         }
         for server in std::mem::take(&mut self.down) {
             self.node_up(server);
         }
-        self.pass(self.now + 60 * SECOND);
-        self.encode_held();
+        self.advance_to(self.now + 60 * SECOND);
+        self.encode_sessions();
     }
 
-    /// The list, and sometimes what the nodes hold of an earlier process of the front.
+    /// Delivers the endpoint list and sometimes sessions that the nodes hold for an earlier process of the director.
     fn start(&mut self) {
-        let lines = (0..NODES)
-            .map(|n| line(n, EndpointState::Ready, None))
+        let entries = (0..NODES)
+            .map(|n| endpoint_entry(n, EndpointState::Ready, None))
             .collect();
-        self.tell(Input::EndpointsUpdated {
+        self.deliver_input(Input::EndpointsUpdated {
             update: EndpointUpdate::Full,
-            endpoints: lines,
+            endpoints: entries,
         });
-        let restarted = self.variant.moves && self.random.percent(50);
+        let restarted = self.variant.migration && self.random.percent(50);
         for node in 0..NODES {
             let server = ServerId(node);
             if restarted {
-                let sessions = self.draw_carried(node);
-                self.tell(Input::NodeSessionsReported { server, sessions });
+                let sessions = self.draw_transferred_sessions(node);
+                self.deliver_input(Input::NodeSessionsReported { server, sessions });
             }
             self.node_up(server);
         }
-        self.pass(Timestamp::ZERO + 2 * SECOND);
+        self.advance_to(Timestamp::ZERO + 2 * SECOND);
     }
 
-    fn draw_carried(&mut self, node: u64) -> Vec<TransferredSession> {
-        let count = self.random.below(MOST_CARRIED + 1);
+    fn draw_transferred_sessions(&mut self, node: u64) -> Vec<TransferredSession> {
+        let count = self.random.below(MAX_TRANSFERRED_SESSIONS + 1);
         let server = ServerId(node);
         let mut sessions = Vec::new();
         for number in 0..count {
             let session = SessionId((1 << 30) + node * 100 + number);
             self.held.entry(server).or_default().insert((session, 0));
             self.playing.insert(session, Epoch(0));
-            let fetched = self.random.percent(80);
-            let held = SessionEpochs {
-                serving: fetched.then_some(Epoch(0)),
-                prepared: (!fetched).then_some(Epoch(1)),
+            let is_serving = self.random.percent(80);
+            let epochs = SessionEpochs {
+                serving: is_serving.then_some(Epoch(0)),
+                prepared: (!is_serving).then_some(Epoch(1)),
             };
             sessions.push(TransferredSession {
                 session,
@@ -308,7 +308,7 @@
                 class: self.random.pick(&["open", "paid"]).into(),
                 title: format!("t{}", self.random.below(TITLES)),
                 rung: 0,
-                epochs: held,
+                epochs,
                 media: format!("m{node}"),
             });
         }
@@ -317,31 +317,32 @@
 
     // ---- inputs and time ---------------------------------------------------------------------
 
-    fn tell(&mut self, input: Input) {
+    fn deliver_input(&mut self, input: Input) {
         self.engine.handle(self.now, input);
         self.collect();
     }
 
-    fn schedule(&mut self, after: TimeDelta, later: Later) {
-        self.queued += 1;
-        self.later.insert((self.now + after, self.queued), later);
+    fn schedule(&mut self, after: TimeDelta, event: ScheduledEvent) {
+        self.event_count += 1;
+        self.queue
+            .insert((self.now + after, self.event_count), event);
     }
 
-    /// What is due by `until` happens, and timers ring, in order of time.
-    fn pass(&mut self, until: Timestamp) {
+    /// Dispatches the events and timeouts that are due by `until`, in order of time.
+    fn advance_to(&mut self, until: Timestamp) {
         loop {
-            let event = self.later.keys().next().map(|(due, _)| *due);
+            let next_event = self.queue.keys().next().map(|(due, _)| *due);
             let timer = self.engine.poll_timeout();
-            let next = event.into_iter().chain(timer).min().unwrap_or(until);
+            let next = next_event.into_iter().chain(timer).min().unwrap_or(until);
             if next > until {
                 break;
             }
             self.now = self.now.max(next);
-            if event.is_some_and(|due| timer.is_none_or(|timer| due <= timer)) {
-                let Some((_, later)) = self.later.pop_first() else {
+            if next_event.is_some_and(|due| timer.is_none_or(|timer| due <= timer)) {
+                let Some((_, due_event)) = self.queue.pop_first() else {
                     break;
                 };
-                self.happen(later);
+                self.dispatch(due_event);
             } else {
                 self.engine.handle_timeout(self.now);
                 self.collect();
@@ -350,38 +351,38 @@
         self.now = until;
     }
 
-    fn happen(&mut self, later: Later) {
-        match later {
-            Later::Tell(input) => self.tell(input),
-            Later::CallAnswered(call) => {
-                let Some(out) = self.calls.remove(&call) else {
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::DeliverInput(input) => self.deliver_input(input),
+            ScheduledEvent::FinishCall(call) => {
+                let Some(pending_call) = self.calls.remove(&call) else {
                     return;
                 };
-                let done = self.answer(&out);
-                self.tell(Input::CallFinished { call, result: done });
+                let result = self.draw_result(&pending_call);
+                self.deliver_input(Input::CallFinished { call, result });
             }
         }
     }
 
     fn step(&mut self) {
         match self.random.below(100) {
-            0..=54 => self.ask(),
+            0..=54 => self.send_request(),
             55..=59 => self.viewer_leaves(),
             60..=69 => self.session_ends(),
             70..=74 => self.node_ends_session(),
-            75..=80 => self.figures(),
-            81..=84 => self.player_is_silent(),
+            75..=80 => self.notify_load(),
+            81..=84 => self.report_silent_stream(),
             85..=87 => self.node_down(),
             88..=91 => self.node_comes_back(),
-            92..=96 => self.list_changes(),
-            97 => self.follows_no_more(),
-            _ => self.tenants_change(),
+            92..=96 => self.change_endpoint_list(),
+            97 => self.unsubscribe_player(),
+            _ => self.update_tenants(),
         }
-        self.encode_held();
+        self.encode_sessions();
     }
 
-    fn ask(&mut self) {
-        self.next_ask += 1;
+    fn send_request(&mut self) {
+        self.next_request_id += 1;
         let random = &mut self.random;
         let tenant = match random.below(20) {
             0 => Some("nobody"),
@@ -391,7 +392,7 @@
         let class = random.pick(&[
             "open", "paid", "open", "paid", "open", "paid", "open", "none",
         ]);
-        let new = SessionRequest {
+        let request = SessionRequest {
             viewer_key: format!("v{}", random.below(70)),
             tenant: tenant.map(String::from),
             class: class.into(),
@@ -403,17 +404,17 @@
             highest_rung: random.percent(30).then(|| random.index(2)),
             is_retry: random.percent(60),
         };
-        let ask = RequestId(self.next_ask);
-        self.waiting.insert(ask);
-        self.tell(Input::RequestReceived {
-            request_id: ask,
-            request: new,
+        let request_id = RequestId(self.next_request_id);
+        self.waiting.insert(request_id);
+        self.deliver_input(Input::RequestReceived {
+            request_id,
+            request,
         });
     }
 
     fn viewer_leaves(&mut self) {
-        if let Some(ask) = self.waiting.pop_first() {
-            self.tell(Input::RequestWithdrawn { request_id: ask });
+        if let Some(request_id) = self.waiting.pop_first() {
+            self.deliver_input(Input::RequestWithdrawn { request_id });
         }
     }
 
@@ -435,7 +436,7 @@
             return;
         };
         self.playing.remove(&session);
-        self.tell(Input::EndSession { session });
+        self.deliver_input(Input::EndSession { session });
     }
 
     fn node_ends_session(&mut self) {
@@ -444,46 +445,40 @@
         else {
             return;
         };
-        self.tell(Input::NodeNotified {
+        self.deliver_input(Input::NodeNotified {
             server,
             event: NodeEvent::SessionEnded { session, attempt },
         });
     }
 
-    fn figures(&mut self) {
+    fn notify_load(&mut self) {
         let server = self.draw_server();
         let Some((session, _)) = self.held[&server].first().copied() else {
             return;
         };
         let random = &mut self.random;
-        let told = NodeEvent::LoadReported {
+        let event = NodeEvent::LoadReported {
             session,
             delivered_fraction: random.percent(50).then(|| random.pick(&[1.0, 1.0, 0.8])),
-            link_utilization: random.percent(70).then(|| random.share()),
-            uplink_utilization: random.percent(30).then(|| random.share()),
+            link_utilization: random.percent(70).then(|| random.utilization()),
+            uplink_utilization: random.percent(30).then(|| random.utilization()),
         };
-        self.tell(Input::NodeNotified {
-            server,
-            event: told,
-        });
+        self.deliver_input(Input::NodeNotified { server, event });
     }
 
-    fn player_is_silent(&mut self) {
+    fn report_silent_stream(&mut self) {
         let Some(session) = self.draw_playing() else {
             return;
         };
-        let buffer = self.random.between(0, 20) * 100 * MILLISECOND;
-        self.tell(Input::StreamSilent {
-            session,
-            buffered: buffer,
-        });
+        let buffered = self.random.between(0, 20) * 100 * MILLISECOND;
+        self.deliver_input(Input::StreamSilent { session, buffered });
     }
 
     fn node_down(&mut self) {
         let server = self.draw_server();
         if self.down.len() < 2 && self.down.insert(server) {
             self.held.insert(server, BTreeSet::new());
-            self.tell(Input::NodeDown { server });
+            self.deliver_input(Input::NodeDown { server });
         }
     }
 
@@ -501,14 +496,14 @@
                 attempt: *attempt,
             })
             .collect();
-        self.tell(Input::NodeConnected {
+        self.deliver_input(Input::NodeConnected {
             server,
             requested_at: self.now,
             held,
         });
     }
 
-    fn list_changes(&mut self) {
+    fn change_endpoint_list(&mut self) {
         let node = self.random.below(NODES);
         let states = [
             EndpointState::Ready,
@@ -517,33 +512,33 @@
             EndpointState::Draining,
             EndpointState::Gone,
         ];
-        let standing = self.random.pick(&states);
-        let came_up = self.random.percent(20).then_some(self.now);
-        let lines = vec![line(node, standing, came_up)];
-        self.tell(Input::EndpointsUpdated {
+        let state = self.random.pick(&states);
+        let started_at = self.random.percent(20).then_some(self.now);
+        let entries = vec![endpoint_entry(node, state, started_at)];
+        self.deliver_input(Input::EndpointsUpdated {
             update: EndpointUpdate::Delta,
-            endpoints: lines,
+            endpoints: entries,
         });
     }
 
-    fn follows_no_more(&mut self) {
+    fn unsubscribe_player(&mut self) {
         let Some(session) = self.draw_playing() else {
             return;
         };
-        self.tell(Input::PlayerSubscription {
+        self.deliver_input(Input::PlayerSubscription {
             session,
             playing_epoch: None,
         });
     }
 
-    /// Agreements with tenant `c` come and go, with nodes of its own or without, and its time ends.
-    fn tenants_change(&mut self) {
+    /// Adds, changes or removes the terms of tenant `c`, with dedicated nodes or without, or ends its sessions.
+    fn update_tenants(&mut self) {
         if !self.variant.tenants {
             return;
         }
         let random = &mut self.random;
         if random.percent(25) {
-            return self.tell(Input::EndTenantSessions { tenant: "c".into() });
+            return self.deliver_input(Input::EndTenantSessions { tenant: "c".into() });
         }
         let classes = [(
             "open".to_string(),
@@ -552,7 +547,7 @@
                 max_wait: 3 * SECOND,
             },
         )];
-        let agreed = TenantTerms {
+        let terms = TenantTerms {
             quota: random.percent(80).then_some(0.3),
             classes: if random.percent(50) {
                 classes.into()
@@ -566,17 +561,17 @@
                 Vec::new()
             },
         };
-        let agreed = random.percent(80).then_some(agreed);
-        self.tell(Input::TenantsUpdated(vec![TenantUpdate {
+        let terms = random.percent(80).then_some(terms);
+        self.deliver_input(Input::TenantsUpdated(vec![TenantUpdate {
             tenant: "c".into(),
-            terms: agreed,
+            terms,
         }]));
     }
 
     // ---- nodes -------------------------------------------------------------------------------
 
-    /// What comes of a call at its node.
-    fn answer(&mut self, call: &Call) -> CallResult {
+    /// Draws a call's result and applies the call if the node runs it.
+    fn draw_result(&mut self, call: &PendingCall) -> CallResult {
         let chance = self.random.below(100);
         if self.down.contains(&call.server) {
             return if chance < 50 {
@@ -592,38 +587,38 @@
         match chance {
             99 => return CallResult::NotSent("out of descriptors".into()),
             94..=98 => {
-                self.run_call(call);
+                self.apply_call(call);
                 return CallResult::MaybeExecuted("cut".into());
             }
-            88..=93 if set_up => return self.answered(503, true, call.server),
-            84..=87 if set_up => return self.answered(500, false, call.server),
+            88..=93 if set_up => return self.draw_answer(503, true, call.server),
+            84..=87 if set_up => return self.draw_answer(500, false, call.server),
             90..=93 if matches!(call.kind, CallKind::CancelMigration { .. }) => {
-                return self.answered(409, false, call.server);
+                return self.draw_answer(409, false, call.server);
             }
             _ => {}
         }
-        self.run_call(call);
-        self.answered(if set_up { 201 } else { 204 }, false, call.server)
+        self.apply_call(call);
+        self.draw_answer(if set_up { 201 } else { 204 }, false, call.server)
     }
 
-    fn answered(&mut self, status: u16, never_ran: bool, server: ServerId) -> CallResult {
+    fn draw_answer(&mut self, status: u16, not_started: bool, server: ServerId) -> CallResult {
         let random = &mut self.random;
-        let load = LoadReport {
+        let load_report = LoadReport {
             streams: random.percent(20).then(|| random.below(40) as f64),
-            link_utilization: random.percent(70).then(|| random.share()),
+            link_utilization: random.percent(70).then(|| random.utilization()),
             uplink_utilization: None,
         };
         let media = random.percent(98).then(|| format!("m{}", server.0));
         CallResult::Answered {
             status,
-            not_started: never_ran,
-            load_report: load,
+            not_started,
+            load_report,
             media,
         }
     }
 
-    /// The call takes effect.
-    fn run_call(&mut self, call: &Call) {
+    /// Applies a call to the node's sessions.
+    fn apply_call(&mut self, call: &PendingCall) {
         let held = self.held.entry(call.server).or_default();
         match call.kind {
             CallKind::SetUpSession {
@@ -651,22 +646,19 @@
         while let Some(output) = self.engine.poll_output() {
             self.encoder.i64(self.now.as_micros());
             encode_output(self.encoder, &output);
-            self.carry_out(output);
+            self.apply_output(output);
         }
         let timeout = self.engine.poll_timeout();
         self.encoder
             .option(timeout, |e, due| e.i64(due.as_micros()));
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn apply_output(&mut self, output: Output) {
         match output {
-            Output::Answer {
-                request_id: ask,
-                answer,
-            } => {
-                self.waiting.remove(&ask);
+            Output::Answer { request_id, answer } => {
+                self.waiting.remove(&request_id);
                 if let Answer::Playing { session, .. } = answer {
-                    self.plays(session);
+                    self.start_playing(session);
                 }
             }
             Output::Call {
@@ -678,22 +670,22 @@
                 } else {
                     self.random.between(1, 200)
                 };
-                self.calls.insert(call, Call { server, kind });
-                self.schedule(wait * MILLISECOND, Later::CallAnswered(call));
+                self.calls.insert(call, PendingCall { server, kind });
+                self.schedule(wait * MILLISECOND, ScheduledEvent::FinishCall(call));
             }
             Output::CancelCall { call } => {
-                if let Some(out) = self.calls.remove(&call)
+                if let Some(pending_call) = self.calls.remove(&call)
                     && self.random.percent(50)
-                    && !self.down.contains(&out.server)
+                    && !self.down.contains(&pending_call.server)
                 {
-                    self.run_call(&out);
+                    self.apply_call(&pending_call);
                 }
             }
             Output::OfferMigration {
                 session,
                 epoch,
                 media,
-            } => self.offered(session, epoch, &media),
+            } => self.answer_migration_offer(session, epoch, &media),
             Output::SessionEnded { session } => {
                 self.playing.remove(&session);
             }
@@ -706,19 +698,19 @@
         }
     }
 
-    fn plays(&mut self, session: SessionId) {
+    fn start_playing(&mut self, session: SessionId) {
         self.playing.insert(session, Epoch(0));
-        if self.variant.moves && self.random.percent(85) {
+        if self.variant.migration && self.random.percent(85) {
             let input = Input::PlayerSubscription {
                 session,
                 playing_epoch: Some(Epoch(0)),
             };
-            self.schedule(5 * MILLISECOND, Later::Tell(input));
+            self.schedule(5 * MILLISECOND, ScheduledEvent::DeliverInput(input));
         }
     }
 
-    /// A player fetches what it is offered and goes over, or gets nothing there and says so, or says nothing.
-    fn offered(&mut self, session: SessionId, epoch: Epoch, media: &str) {
+    /// A player fetches the offered stream and migrates, or declines the offer, or does not answer.
+    fn answer_migration_offer(&mut self, session: SessionId, epoch: Epoch, media: &str) {
         let Some(node) = media.strip_prefix('m').and_then(|n| n.parse().ok()) else {
             return;
         };
@@ -729,37 +721,34 @@
         }
         if chance >= 75 {
             let input = Input::EpochDeclined { session, epoch };
-            return self.schedule(400 * MILLISECOND, Later::Tell(input));
+            return self.schedule(400 * MILLISECOND, ScheduledEvent::DeliverInput(input));
         }
         self.playing
             .entry(session)
-            .and_modify(|plays| *plays = epoch);
-        let told = NodeEvent::StreamFetched {
+            .and_modify(|playing_epoch| *playing_epoch = epoch);
+        let event = NodeEvent::StreamFetched {
             session,
             attempt: 0,
             epoch,
         };
         self.schedule(
             5 * MILLISECOND,
-            Later::Tell(Input::NodeNotified {
-                server,
-                event: told,
-            }),
+            ScheduledEvent::DeliverInput(Input::NodeNotified { server, event }),
         );
         self.schedule(
             60 * MILLISECOND,
-            Later::Tell(Input::EpochPlaying { session, epoch }),
+            ScheduledEvent::DeliverInput(Input::EpochPlaying { session, epoch }),
         );
     }
 
-    fn encode_held(&mut self) {
-        let held = self.engine.session_counts();
+    fn encode_sessions(&mut self) {
+        let counts = self.engine.session_counts();
         for count in [
-            held.waiting,
-            held.playing,
-            held.ending,
-            held.unconfirmed_ends,
-            held.migrating,
+            counts.waiting,
+            counts.playing,
+            counts.ending,
+            counts.unconfirmed_ends,
+            counts.migrating,
         ] {
             self.encoder.usize(count);
         }
@@ -768,41 +757,38 @@
             self.encoder.usize(sessions.len());
             sessions
                 .iter()
-                .for_each(|shown| encode_shown(self.encoder, shown));
+                .for_each(|summary| encode_session_summary(self.encoder, summary));
         }
     }
 }
 
-fn line(node: u64, standing: EndpointState, came_up: Option<Timestamp>) -> EndpointEntry {
+fn endpoint_entry(node: u64, state: EndpointState, started_at: Option<Timestamp>) -> EndpointEntry {
     EndpointEntry {
         server: ServerId(node),
         address: Some(SocketAddr::from(([127, 0, 0, 1], 1000 + node as u16))),
         zone: String::new(),
         machine_kind: "box".into(),
         cell: node,
-        state: standing,
+        state,
         weight: 1.0,
-        started_at: came_up,
+        started_at,
     }
 }
 
-fn encode_shown(encoder: &mut Encoder, shown: &SessionSummary) {
-    encoder.u64(shown.session.0);
-    encoder.text(&shown.class);
-    encoder.text(&shown.title);
-    encoder.option(shown.server, |e, server| e.u64(server.0));
-    encoder.usize(shown.rung);
-    encoder.bool(shown.is_playing);
+fn encode_session_summary(encoder: &mut Encoder, summary: &SessionSummary) {
+    encoder.u64(summary.session.0);
+    encoder.text(&summary.class);
+    encoder.text(&summary.title);
+    encoder.option(summary.server, |e, server| e.u64(server.0));
+    encoder.usize(summary.rung);
+    encoder.bool(summary.is_playing);
 }
 
 fn encode_output(encoder: &mut Encoder, output: &Output) {
     match output {
-        Output::Answer {
-            request_id: ask,
-            answer,
-        } => {
+        Output::Answer { request_id, answer } => {
             encoder.begin_output(1);
-            encoder.u64(ask.0);
+            encoder.u64(request_id.0);
             encode_answer(encoder, answer);
         }
         Output::Call {
@@ -851,31 +837,31 @@
         Output::MigrationFinished {
             session,
             to,
-            reason: why,
-            duration: took,
-            migrated: moved,
+            reason,
+            duration,
+            migrated,
         } => {
             encoder.begin_output(9);
             encoder.u64(session.0);
             encoder.u64(to.0);
-            encoder.tag(tag_of_reason(*why));
-            encoder.i64(took.as_micros());
-            encoder.bool(*moved);
+            encoder.tag(tag_of_reason(*reason));
+            encoder.i64(duration.as_micros());
+            encoder.bool(*migrated);
         }
         Output::AttemptFinished {
             session,
             attempt,
             server,
             outcome,
-            duration: took,
+            duration,
         } => {
             encoder.begin_output(10);
             encode_attempt(encoder, *session, *attempt);
             encoder.u64(server.0);
             encoder.tag(tag_of_outcome(*outcome));
-            encoder.i64(took.as_micros());
+            encoder.i64(duration.as_micros());
         }
-        // The text of a log line is no behaviour.
+        // Log texts are not behaviour, so only the fact is hashed.
         Output::Log(_) => encoder.begin_output(11),
     }
 }
@@ -894,28 +880,28 @@
         }
         Answer::Rejected {
             session,
-            retry_after: come_back,
+            retry_after,
         } => {
             encoder.tag(2);
             encoder.option(*session, |e, session| e.u64(session.0));
-            encoder.option(*come_back, |e, after| e.i64(after.as_micros()));
+            encoder.option(*retry_after, |e, after| e.i64(after.as_micros()));
         }
         Answer::Failed {
             session,
-            is_deadline_exceeded: late,
+            is_deadline_exceeded,
         } => {
             encoder.tag(3);
             encoder.u64(session.0);
-            encoder.bool(*late);
+            encoder.bool(*is_deadline_exceeded);
         }
-        // These words go to the viewer with the answer.
-        Answer::Unknown(what) => {
+        // These texts are part of the viewer's answer.
+        Answer::Unknown(message) => {
             encoder.tag(4);
-            encoder.text(what);
+            encoder.text(message);
         }
-        Answer::Conflict(what) => {
+        Answer::Conflict(message) => {
             encoder.tag(5);
-            encoder.text(what);
+            encoder.text(message);
         }
     }
 }
@@ -930,34 +916,34 @@
             class,
             title,
             rung,
-            rate_kb_s: kb,
+            rate_kb_s,
         } => {
             encoder.tag(1);
             encode_attempt(encoder, *session, *attempt);
             encoder.u64(*viewer);
             encode_terms(encoder, tenant.as_deref(), class, title);
             encoder.usize(*rung);
-            encoder.f64(*kb);
+            encoder.f64(*rate_kb_s);
         }
         CallKind::SetRung {
             session,
             attempt,
             rung,
-            rate_kb_s: kb,
+            rate_kb_s,
         } => {
             encoder.tag(2);
             encode_attempt(encoder, *session, *attempt);
             encoder.usize(*rung);
-            encoder.f64(*kb);
+            encoder.f64(*rate_kb_s);
         }
         CallKind::EndSession {
             session,
             attempt,
-            up_to_epoch: upto,
+            up_to_epoch,
         } => {
             encoder.tag(3);
             encode_attempt(encoder, *session, *attempt);
-            encoder.option(*upto, encode_epoch);
+            encoder.option(*up_to_epoch, encode_epoch);
         }
         CallKind::PrepareMigration {
             session,
@@ -969,7 +955,7 @@
             class,
             title,
             rung,
-            rate_kb_s: kb,
+            rate_kb_s,
         } => {
             encoder.tag(4);
             encode_attempt(encoder, *session, *attempt);
@@ -978,7 +964,7 @@
             encoder.u64(*viewer);
             encode_terms(encoder, tenant.as_deref(), class, title);
             encoder.usize(*rung);
-            encoder.f64(*kb);
+            encoder.f64(*rate_kb_s);
         }
         CallKind::CancelMigration {
             session,
@@ -1008,8 +994,8 @@
     encoder.text(title);
 }
 
-fn tag_of_reason(why: MigrationReason) -> u8 {
-    match why {
+fn tag_of_reason(reason: MigrationReason) -> u8 {
+    match reason {
         MigrationReason::Orphaned => 1,
         MigrationReason::NodeSilent => 2,
         MigrationReason::NodeDraining => 3,
--- a/crates/behavior-digest/src/main.rs
+++ b/crates/behavior-digest/src/main.rs
@@ -1,7 +1,7 @@
 //! `shalewall-behavior-digest` prints one digest for each part of the project that runs without I/O.
 //!
-//! Each part feeds pseudo-random inputs of fixed seeds to one crate and hashes everything the crate answers. A change
-//! that keeps behaviour, such as a rename, keeps every digest. Names in the code and log texts are never hashed.
+//! Each part feeds pseudo-random inputs of fixed seeds to one crate and hashes all outputs. A change that preserves
+//! behaviour, such as a rename, preserves every digest. Identifiers and log texts are not hashed.
 
 mod decisions;
 mod encoder;
--- a/crates/behavior-digest/src/platform_protocol.rs
+++ b/crates/behavior-digest/src/platform_protocol.rs
@@ -1,5 +1,5 @@
-//! Digest of the platform's protocol: every output of `shalewall_platform_proto::DirectorProtocol`, and every byte that it writes
-//! to each connection, over random steps of viewers, nodes, the journal service and the director's operator.
+//! Digest of the platform's protocol: every output of `shalewall_platform_proto::DirectorProtocol` and every byte that it
+//! writes to each connection, for random steps of viewers, nodes, the journal service and the operator.
 
 use crate::encoder::{Encoder, PartDigest};
 use crate::random::Random;
@@ -14,16 +14,16 @@
 
 const MILLISECOND: i64 = 1_000;
 const SECOND: i64 = 1_000_000;
-/// Any time of the clock.
+/// Arbitrary wall-clock time at the start.
 const START: i64 = 1_700_000_000 * SECOND;
 const SEEDS: u64 = 500;
 const STEPS: u64 = 400;
 const NODES: u64 = 3;
-/// Tenants of the settings, where there are any.
+/// The tenants in settings of variants that have some.
 const TENANTS: &str = r#"[{"Name":"a","AllowancePerS":2.0},{"Name":"b"}]"#;
-const MOST_VIEWERS: usize = 12;
-/// A socket that takes a message in part takes its length over this.
-const PART_TAKEN: usize = 2;
+const MAX_VIEWERS: usize = 12;
+/// A partial write accepts the length of the message divided by this.
+const PARTIAL_WRITE_DIVISOR: usize = 2;
 
 /// Runs all cases.
 pub fn digest() -> PartDigest {
@@ -37,50 +37,50 @@
     encoder.finish()
 }
 
-/// What differs between the configurations.
+/// The differences between the configurations.
 #[derive(Clone, Copy)]
 struct Variant {
     directors: u32,
-    probes: bool,
-    recalls: bool,
+    can_check_health: bool,
+    can_cancel: bool,
     retry_after: bool,
-    places: u32,
-    link_kb: u32,
+    stream_capacity: u32,
+    link_kb_s: u32,
     /// Requests name one of two tenants, or one that does not exist.
     tenants: bool,
 }
 
 impl Variant {
     fn all() -> [Variant; 3] {
-        let usual = Variant {
+        let base = Variant {
             directors: 1,
-            probes: false,
-            recalls: true,
+            can_check_health: false,
+            can_cancel: true,
             retry_after: true,
-            places: 30,
-            link_kb: 90_000,
+            stream_capacity: 30,
+            link_kb_s: 90_000,
             tenants: false,
         };
         [
-            usual,
+            base,
             Variant {
                 directors: 3,
-                probes: true,
-                link_kb: 3_000,
-                ..usual
+                can_check_health: true,
+                link_kb_s: 3_000,
+                ..base
             },
             Variant {
-                recalls: false,
+                can_cancel: false,
                 retry_after: false,
-                places: 4,
-                link_kb: 9_000,
+                stream_capacity: 4,
+                link_kb_s: 9_000,
                 tenants: true,
-                ..usual
+                ..base
             },
         ]
     }
 
-    /// A configuration whose last known event has this number, with the last node in this phase.
+    /// A configuration whose last known watch event is at `position`, with the last node in `phase`.
     fn config(self, position: u64, phase: &str) -> Config {
         let member = |id: u64| {
             let phase = if id == NODES { phase } else { "ready" };
@@ -94,15 +94,15 @@
         let members: Vec<String> = (1..=NODES).map(member).collect();
         let Variant {
             directors,
-            probes,
-            recalls,
+            can_check_health,
+            can_cancel,
             retry_after,
-            places,
-            link_kb,
+            stream_capacity,
+            link_kb_s,
             tenants,
         } = self;
         let tenants = if tenants { TENANTS } else { "[]" };
-        let rack_kb = 2 * link_kb;
+        let rack_kb_s = 2 * link_kb_s;
         let text = format!(
             r#"{{"name":"n1","listen":"10.0.0.4:5060","seed":"8c1f30d27a5be964","limits":{{"sockets":256}},
             "journal":"10.2.0.1:8500","known":{{"pos":{position},"entries":[{{"pos":{position},"hosts":{{"revision":1,
@@ -111,11 +111,11 @@
             {{"Name":"free","Effect":"idempotent","Target":1000.0,"Value":1.0}}],
             "FailureDomains":["north"],"Shapes":["small"],"Zone":"north","WeightSource":"nominal","Step":10.0,
             "Contract":{{"WarmAfter":0,"StartCapacity":0.4,"OverloadFactor":2.0,"Fall":2000.0,
-            "StopSendingWithin":250.0}},"Limits":{{"MaxAttempts":4,"MayCancel":{recalls},"Probes":{probes},
+            "StopSendingWithin":250.0}},"Limits":{{"MaxAttempts":4,"MayCancel":{can_cancel},"Probes":{can_check_health},
             "RetryAfter":{retry_after},"MaxRetryAfter":1000.0,"ConnectTimeout":250.0,"ConnIdle":15000.0}},
-            "Specifics":{{"Places":2,"Cabinets":1,"PlacesByKind":[{places}],"RungKb":[200,600],"RungWorth":[0.4,1.0],
-            "HighestRung":[1,1],"LowestRung":[0,0],"ClassScale":[1.0,1.0],"KbPerWeight":{link_kb},
-            "RackLinkKb":{rack_kb},"ToldEvery":3000.0}}}}}}"#,
+            "Specifics":{{"Places":2,"Cabinets":1,"PlacesByKind":[{stream_capacity}],"RungKb":[200,600],"RungWorth":[0.4,1.0],
+            "HighestRung":[1,1],"LowestRung":[0,0],"ClassScale":[1.0,1.0],"KbPerWeight":{link_kb_s},
+            "RackLinkKb":{rack_kb_s},"ToldEvery":3000.0}}}}}}"#,
             members.join(",")
         );
         Config::parse(text.as_bytes()).expect("the configuration is valid")
@@ -129,31 +129,31 @@
 /// How a connection's socket behaves.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Socket {
-    /// Takes whatever it is given.
+    /// Accepts all bytes.
     Free,
-    /// Takes nothing for now.
+    /// Accepts nothing until it is freed.
     Full,
-    /// Takes a part of the next message and nothing more until the connection ends.
-    Half { taken: bool },
+    /// Accepts a part of the next message, then nothing until the connection is closed.
+    Partial { accepted: bool },
 }
 
-/// A connection as its other side sees it.
+/// A connection as the peer sees it.
 struct Connection {
-    /// In order of first use, as the connection's own identity is opaque.
+    /// Sequence number in order of first use, as a [`ConnectionId`] is opaque.
     number: u64,
-    /// The node that it goes to; none for a viewer's connection.
+    /// The node of the connection; absent for a viewer's connection.
     node: Option<u64>,
-    up: bool,
+    is_connected: bool,
     socket: Socket,
-    /// Set-ups that a node has and has not answered.
-    set_ups: Vec<u64>,
-    /// Probes that a node has and has not answered.
-    probes: Vec<u64>,
-    /// What was written on it and not parsed yet.
+    /// Set-ups that the node has not answered yet.
+    pending_setups: Vec<u64>,
+    /// Health checks that the node has not answered yet.
+    pending_health_checks: Vec<u64>,
+    /// Written bytes that are not parsed yet.
     written: Vec<u8>,
 }
 
-/// One run of a door with its viewers and nodes.
+/// One run of the director's protocol with its viewers and nodes.
 struct Script<'e> {
     protocol: DirectorProtocol,
     variant: Variant,
@@ -162,11 +162,11 @@
     now: i64,
     connections: BTreeMap<ConnectionId, Connection>,
     next_number: u64,
-    /// Requests that were made, and the viewer's connection of each.
+    /// Requests by tag, with the viewer's connection of each.
     requests: BTreeMap<u64, ConnectionId>,
     next_tag: u64,
-    /// Sessions that nodes hold.
-    standing: BTreeSet<(u64, u64)>,
+    /// Sessions that nodes hold, as pairs of node and tag.
+    node_sessions: BTreeSet<(u64, u64)>,
 }
 
 impl<'e> Script<'e> {
@@ -184,18 +184,18 @@
             next_number: 0,
             requests: BTreeMap::new(),
             next_tag: 100,
-            standing: BTreeSet::new(),
+            node_sessions: BTreeSet::new(),
         }
     }
 
     fn run(mut self) {
         self.pump();
-        (0..3).for_each(|_| self.viewer_connects());
+        (0..3).for_each(|_| self.connect_viewer());
         for _ in 0..STEPS {
             self.step();
             self.encode_state();
         }
-        // Half of the cases end as a director does that is told to end.
+        // Half of the cases end with a graceful shutdown.
         if self.random.percent(50) {
             self.protocol.begin_shutdown(self.timestamp());
             self.settle();
@@ -208,31 +208,31 @@
 
     fn step(&mut self) {
         match self.random.below(100) {
-            0..=19 => self.asks(),
-            20..=24 => self.gives_up(),
-            25..=27 => self.viewer_hangs_up(),
-            28..=30 => self.viewer_connects(),
-            31..=46 | 48..=49 => self.comes_up(),
-            47 => self.fails_to_come_up(),
-            50..=65 => self.node_answers(),
-            66 => self.answer_is_lost(),
-            67..=69 => self.probe_is_answered(),
-            70..=72 => self.node_releases(),
-            73..=76 => self.node_notes(),
-            77..=78 => self.node_breaks(),
-            79..=81 => self.socket_changes(),
-            82..=84 => self.sockets_are_free(),
-            85..=88 => self.journal_tells(),
+            0..=19 => self.send_request(),
+            20..=24 => self.cancel_request(),
+            25..=27 => self.close_viewer(),
+            28..=30 => self.connect_viewer(),
+            31..=46 | 48..=49 => self.connect_node(),
+            47 => self.fail_connect(),
+            50..=65 => self.answer_setup(),
+            66 => self.lose_setup_answer(),
+            67..=69 => self.answer_health_check(),
+            70..=72 => self.end_node_session(),
+            73..=76 => self.notify_load(),
+            77..=78 => self.close_node_connection(),
+            79..=81 => self.restrict_socket(),
+            82..=84 => self.free_sockets(),
+            85..=88 => self.deliver_watch_frame(),
             89 => self.reconfigure(),
-            90..=91 => self.garbage(),
+            90..=91 => self.send_malformed_bytes(),
             _ => {
                 let span = self.random.pick(&[1, 20, 100, 300, 700, 2_000, 16_000]) * MILLISECOND;
-                self.pass(span);
+                self.advance_by(span);
             }
         }
     }
 
-    // ---- the door's outputs ------------------------------------------------------------------
+    // ---- outputs of the protocol -------------------------------------------------------------
 
     fn pump(&mut self) {
         while let Some(output) = self.protocol.poll_output() {
@@ -241,13 +241,13 @@
                 Output::Connect {
                     connection: conn,
                     address,
-                    timeout: within,
+                    timeout,
                 } => {
                     self.encoder.begin_output(1);
                     self.register(conn, Some(node_at(address)), false);
                     self.encode_connection(conn);
                     self.encoder.text(&address.to_string());
-                    self.encoder.i64(within.as_micros());
+                    self.encoder.i64(timeout.as_micros());
                 }
                 Output::Write(conn) => {
                     self.encoder.begin_output(2);
@@ -259,21 +259,21 @@
                     self.encode_connection(conn);
                     self.forget(conn);
                 }
-                // The text of a log line is no behaviour.
+                // Log texts are not behaviour, so only the fact is hashed.
                 Output::Log(_) => self.encoder.begin_output(4),
             }
         }
     }
 
-    fn register(&mut self, conn: ConnectionId, node: Option<u64>, up: bool) {
+    fn register(&mut self, conn: ConnectionId, node: Option<u64>, is_connected: bool) {
         self.next_number += 1;
         let connection = Connection {
             number: self.next_number,
             node,
-            up,
+            is_connected,
             socket: Socket::Free,
-            set_ups: Vec::new(),
-            probes: Vec::new(),
+            pending_setups: Vec::new(),
+            pending_health_checks: Vec::new(),
             written: Vec::new(),
         };
         self.connections.insert(conn, connection);
@@ -289,13 +289,14 @@
         self.requests.retain(|_, viewer| *viewer != conn);
     }
 
-    /// Writes on a connection until its socket takes no more or nothing is left.
+    /// Writes to a connection until its socket accepts no more or nothing is left to write.
     fn write(&mut self, conn: ConnectionId) {
         loop {
-            let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.up) else {
+            let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.is_connected)
+            else {
                 return;
             };
-            if connection.socket == (Socket::Half { taken: true }) {
+            if connection.socket == (Socket::Partial { accepted: true }) {
                 return;
             }
             let next = self.protocol.poll_transmit(self.timestamp(), conn);
@@ -307,7 +308,7 @@
                     }
                 }
                 Transmit::Wait | Transmit::CloseWriteHalf => return,
-                Transmit::CloseIfNoUnreadBytes => return self.ends(conn, true),
+                Transmit::CloseIfNoUnreadBytes => return self.close_connection(conn, true),
                 Transmit::Close => return self.forget(conn),
             }
         }
@@ -327,7 +328,7 @@
         }
     }
 
-    /// The socket takes the bytes, a part of them or none. Whether it takes more.
+    /// Offers bytes to the socket, which accepts all, a part or none of them. Returns whether it accepts more.
     fn take_bytes(&mut self, conn: ConnectionId, bytes: Vec<u8>) -> bool {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return false;
@@ -343,18 +344,18 @@
                     .return_unwritten(self.timestamp(), conn, bytes);
                 false
             }
-            Socket::Half { taken } => {
-                *taken = true;
+            Socket::Partial { accepted } => {
+                *accepted = true;
                 connection
                     .written
-                    .extend_from_slice(&bytes[..bytes.len() / PART_TAKEN]);
+                    .extend_from_slice(&bytes[..bytes.len() / PARTIAL_WRITE_DIVISOR]);
                 self.protocol.partially_written(self.timestamp(), conn);
                 false
             }
         }
     }
 
-    /// A node takes note of what it is told to set up and to end.
+    /// Parses the messages that a node has received and updates its set-ups, health checks and sessions.
     fn read_as_node(&mut self, conn: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
@@ -367,12 +368,12 @@
                 continue;
             };
             if message.starts_with("SETUP") {
-                connection.set_ups.push(tag);
+                connection.pending_setups.push(tag);
             } else if message.starts_with("OPTIONS") {
-                connection.probes.push(tag);
+                connection.pending_health_checks.push(tag);
             } else if message.starts_with("TEARDOWN") {
-                connection.set_ups.retain(|t| *t != tag);
-                self.standing.remove(&(node, tag));
+                connection.pending_setups.retain(|t| *t != tag);
+                self.node_sessions.remove(&(node, tag));
             }
         }
     }
@@ -407,13 +408,13 @@
 
     // ---- time --------------------------------------------------------------------------------
 
-    /// When the protocol's next timer is due, if that is not after `until`.
+    /// The time of the protocol's next timeout if it is due by `until`.
     fn next_due(&self, until: i64) -> Option<i64> {
         let due = self.protocol.poll_timeout()?.as_micros();
         (due <= until).then_some(due)
     }
 
-    fn pass(&mut self, span: i64) {
+    fn advance_by(&mut self, span: i64) {
         let until = self.now + span;
         while let Some(due) = self.next_due(until) {
             self.now = due.max(self.now);
@@ -423,13 +424,13 @@
         self.now = until;
     }
 
-    /// All sockets are free, connections come up, nodes answer, and time passes.
+    /// Frees all sockets, connects nodes, answers set-ups and advances the time until the protocol has settled.
     fn settle(&mut self) {
         for _ in 0..20 {
-            self.sockets_are_free();
-            (0..4).for_each(|_| self.comes_up());
-            (0..4).for_each(|_| self.node_answers());
-            self.pass(250 * MILLISECOND);
+            self.free_sockets();
+            (0..4).for_each(|_| self.connect_node());
+            (0..4).for_each(|_| self.answer_setup());
+            self.advance_by(250 * MILLISECOND);
         }
         let status = self.protocol.status();
         self.encode_counts(status.sessions, status.connections);
@@ -440,36 +441,37 @@
 
     // ---- viewers -----------------------------------------------------------------------------
 
-    /// One of the connections for which `which` holds.
-    fn draw_connection(&mut self, which: impl Fn(&Connection) -> bool) -> Option<ConnectionId> {
-        let found = self.find_connections(which);
-        if found.is_empty() {
+    /// A random one of the connections that match the predicate.
+    fn draw_connection(&mut self, predicate: impl Fn(&Connection) -> bool) -> Option<ConnectionId> {
+        let matching = self.find_connections(predicate);
+        if matching.is_empty() {
             None
         } else {
-            Some(found[self.random.index(found.len())])
+            Some(matching[self.random.index(matching.len())])
         }
     }
 
-    /// In the order of their numbers, so that nothing depends on how connections compare.
-    fn find_connections(&self, which: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
-        let matching = self.connections.iter().filter(|(_, c)| which(c));
-        let mut found: Vec<(u64, ConnectionId)> =
+    /// All matching connections in order of their numbers, so that the result does not depend on the order of
+    /// [`ConnectionId`].
+    fn find_connections(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
+        let matching = self.connections.iter().filter(|(_, c)| predicate(c));
+        let mut matching: Vec<(u64, ConnectionId)> =
             matching.map(|(conn, c)| (c.number, *conn)).collect();
-        found.sort_unstable();
-        found.into_iter().map(|(_, conn)| conn).collect()
+        matching.sort_unstable();
+        matching.into_iter().map(|(_, conn)| conn).collect()
     }
 
     fn draw_viewer(&mut self) -> Option<ConnectionId> {
         self.draw_connection(|c| c.node.is_none())
     }
 
-    fn viewer_connects(&mut self) {
+    fn connect_viewer(&mut self) {
         let viewers = self
             .connections
             .values()
             .filter(|c| c.node.is_none())
             .count();
-        if viewers >= MOST_VIEWERS {
+        if viewers >= MAX_VIEWERS {
             return;
         }
         let ip = IpAddr::V4(Ipv4Addr::new(10, 9, 0, self.random.below(3) as u8));
@@ -482,24 +484,24 @@
         }
     }
 
-    fn viewer_hangs_up(&mut self) {
+    fn close_viewer(&mut self) {
         let Some(conn) = self.draw_viewer() else {
             return;
         };
         let clean = self.random.percent(50);
-        self.ends(conn, clean);
-        self.viewer_connects();
+        self.close_connection(conn, clean);
+        self.connect_viewer();
     }
 
-    fn ends(&mut self, conn: ConnectionId, clean: bool) {
+    fn close_connection(&mut self, conn: ConnectionId, clean: bool) {
         self.forget(conn);
         self.protocol
             .connection_closed(self.timestamp(), conn, clean);
         self.pump();
     }
 
-    /// Bytes come on a connection, sometimes in two pieces.
-    fn hear(&mut self, conn: ConnectionId, bytes: &[u8]) {
+    /// Delivers bytes to the protocol, sometimes in two pieces.
+    fn receive_bytes(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let cut = if self.random.percent(10) {
             self.random.index(bytes.len())
         } else {
@@ -513,7 +515,7 @@
         }
     }
 
-    fn asks(&mut self) {
+    fn send_request(&mut self) {
         let Some(conn) = self.draw_viewer() else {
             return;
         };
@@ -526,7 +528,7 @@
         };
         self.requests.insert(tag, conn);
         let line = self.draw_request(tag);
-        self.hear(conn, line.as_bytes());
+        self.receive_bytes(conn, line.as_bytes());
     }
 
     fn draw_request(&mut self, tag: u64) -> String {
@@ -534,25 +536,30 @@
         let class = random.pick(&[
             "paid", "free", "paid", "free", "paid", "free", "paid", "free", "gold",
         ]);
-        let left = random.pick(&["1500", "300", "4000", "0", "-5", "soon"][..]);
-        let left = if random.percent(85) { "1500" } else { left };
+        let remaining_ms = random.pick(&["1500", "300", "4000", "0", "-5", "soon"][..]);
+        let remaining_ms = if random.percent(85) {
+            "1500"
+        } else {
+            remaining_ms
+        };
         let key = 0x7f3a_9c21_e0b4_d655u64 + random.below(4);
         let hint = random.pick(&["8200.0", "600.0", "60000.0"]);
-        let (home, copies, top) = (random.below(2), random.below(2) + 1, random.below(2));
+        let (first_cell, replica_cells, highest_rung) =
+            (random.below(2), random.below(2) + 1, random.below(2));
         let viewer = random.below(50);
         let tenant = random.pick(&["a", "a", "b", "b", "b", "c"]);
-        let more = match random.below(20) {
+        let option = match random.below(20) {
             0 | 1 => ";again:1".to_string(),
-            // It played when another process of the director ended.
+            // The session was playing at this node when another process of the director ended.
             2 => format!(";at:s-{:08x}", random.below(NODES) + 1),
             _ => String::new(),
         };
         format!(
-            r#"{{"verb":"START","tag":"{tag:016x}","opts":{{"class":"{class}","left":"{left}","tenant":"{tenant}","key":"{key:016x}","hint":"{hint}","extras":"home:{home};copies:{copies};top:{top};viewer:{viewer:016x}{more}"}},"blob":"here\r\n"}}"#
+            r#"{{"verb":"START","tag":"{tag:016x}","opts":{{"class":"{class}","left":"{remaining_ms}","tenant":"{tenant}","key":"{key:016x}","hint":"{hint}","extras":"home:{first_cell};copies:{replica_cells};top:{highest_rung};viewer:{viewer:016x}{option}"}},"blob":"here\r\n"}}"#
         ) + "\n"
     }
 
-    fn gives_up(&mut self) {
+    fn cancel_request(&mut self) {
         let requests: Vec<(u64, ConnectionId)> = self
             .requests
             .iter()
@@ -566,53 +573,53 @@
         let cause = self.random.pick(&[16, 16, 31]);
         let line =
             format!(r#"{{"verb":"FINISH","tag":"{tag:016x}","opts":{{}},"rc":{cause}}}"#) + "\n";
-        self.hear(conn, line.as_bytes());
+        self.receive_bytes(conn, line.as_bytes());
     }
 
     // ---- nodes -------------------------------------------------------------------------------
 
-    fn comes_up(&mut self) {
-        let Some(conn) = self.draw_connection(|c| !c.up) else {
+    fn connect_node(&mut self) {
+        let Some(conn) = self.draw_connection(|c| !c.is_connected) else {
             return;
         };
         if let Some(connection) = self.connections.get_mut(&conn) {
-            connection.up = true;
+            connection.is_connected = true;
         }
         self.protocol.node_connected(self.timestamp(), conn);
         self.pump();
         self.write(conn);
     }
 
-    fn fails_to_come_up(&mut self) {
-        let Some(conn) = self.draw_connection(|c| !c.up) else {
+    fn fail_connect(&mut self) {
+        let Some(conn) = self.draw_connection(|c| !c.is_connected) else {
             return;
         };
-        let why = self.random.pick(&[
+        let error = self.random.pick(&[
             ConnectError::Refused,
             ConnectError::Unreachable,
             ConnectError::LocalShortage,
         ]);
         self.forget(conn);
         self.protocol
-            .node_connect_failed(self.timestamp(), conn, why);
+            .node_connect_failed(self.timestamp(), conn, error);
         self.pump();
     }
 
     fn draw_node(&mut self) -> Option<(ConnectionId, u64)> {
-        let conn = self.draw_connection(|c| c.up && c.node.is_some())?;
+        let conn = self.draw_connection(|c| c.is_connected && c.node.is_some())?;
         let node = self.connections.get(&conn).and_then(|c| c.node)?;
         Some((conn, node))
     }
 
-    fn draw_busy(&mut self) -> Option<(ConnectionId, u64, u64)> {
-        let conn = self.draw_connection(|c| c.up && !c.set_ups.is_empty())?;
+    fn draw_pending_setup(&mut self) -> Option<(ConnectionId, u64, u64)> {
+        let conn = self.draw_connection(|c| c.is_connected && !c.pending_setups.is_empty())?;
         let connection = self.connections.get_mut(&conn)?;
-        let tag = connection.set_ups.remove(0);
+        let tag = connection.pending_setups.remove(0);
         Some((conn, connection.node?, tag))
     }
 
-    fn node_answers(&mut self) {
-        let Some((conn, node, tag)) = self.draw_busy() else {
+    fn answer_setup(&mut self) {
+        let Some((conn, node, tag)) = self.draw_pending_setup() else {
             return;
         };
         let status = if self.random.percent(85) {
@@ -623,125 +630,130 @@
         let report = self.draw_report();
         let body = if status == 200 { "there" } else { "" };
         if status == 200 {
-            self.standing.insert((node, tag));
+            self.node_sessions.insert((node, tag));
         }
         let length = body.len();
         let text = format!(
             "RTSP/1.0 {status} X\r\nCSeq: 1\r\nSession: {tag:016x}\r\n{report}Content-Length: {length}\r\n\r\n{body}"
         );
-        self.hear(conn, text.as_bytes());
+        self.receive_bytes(conn, text.as_bytes());
     }
 
-    /// Load figures that come with an answer, in most of them.
+    /// A load report header for 70% of the answers.
     fn draw_report(&mut self) -> String {
         if self.random.percent(30) {
             return String::new();
         }
         let (streams, link, uplink) = (
             self.random.below(30),
-            self.random.share(),
-            self.random.share(),
+            self.random.utilization(),
+            self.random.utilization(),
         );
         format!("P-Report: rif:{streams};x0:{link:.3};x1:{uplink:.3}\r\n")
     }
 
-    fn probe_is_answered(&mut self) {
-        let Some(conn) = self.draw_connection(|c| c.up && !c.probes.is_empty()) else {
+    fn answer_health_check(&mut self) {
+        let Some(conn) =
+            self.draw_connection(|c| c.is_connected && !c.pending_health_checks.is_empty())
+        else {
             return;
         };
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        let tag = connection.probes.remove(0);
+        let tag = connection.pending_health_checks.remove(0);
         let report = self.draw_report();
         let text = format!(
             "RTSP/1.0 200 OK\r\nCSeq: 3\r\nSession: {tag:016x}\r\n{report}Content-Length: 0\r\n\r\n"
         );
-        self.hear(conn, text.as_bytes());
+        self.receive_bytes(conn, text.as_bytes());
     }
 
-    /// A node lets a session stand, and the answer is lost with the connection.
-    fn answer_is_lost(&mut self) {
-        let Some((conn, node, tag)) = self.draw_busy() else {
+    /// A node sets a session up, but its answer is lost because the connection breaks.
+    fn lose_setup_answer(&mut self) {
+        let Some((conn, node, tag)) = self.draw_pending_setup() else {
             return;
         };
-        self.standing.insert((node, tag));
-        self.ends(conn, false);
+        self.node_sessions.insert((node, tag));
+        self.close_connection(conn, false);
     }
 
-    fn draw_standing(&mut self, node: u64) -> Option<u64> {
-        let found: Vec<u64> = self
-            .standing
+    fn draw_node_session(&mut self, node: u64) -> Option<u64> {
+        let matching: Vec<u64> = self
+            .node_sessions
             .iter()
             .filter(|(n, _)| *n == node)
             .map(|(_, tag)| *tag)
             .collect();
-        if found.is_empty() {
+        if matching.is_empty() {
             None
         } else {
-            Some(found[self.random.index(found.len())])
+            Some(matching[self.random.index(matching.len())])
         }
     }
 
-    fn node_releases(&mut self) {
+    fn end_node_session(&mut self) {
         let Some((conn, node)) = self.draw_node() else {
             return;
         };
-        let Some(tag) = self.draw_standing(node) else {
+        let Some(tag) = self.draw_node_session(node) else {
             return;
         };
-        self.standing.remove(&(node, tag));
+        self.node_sessions.remove(&(node, tag));
         let cause = self.random.pick(&[16, 31, 41]);
         let body = self.random.pick(&["", "summary"]);
         let text = format!(
             "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {tag:016x}\r\nReason: cause={cause}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        self.hear(conn, text.as_bytes());
+        self.receive_bytes(conn, text.as_bytes());
     }
 
-    fn node_notes(&mut self) {
+    fn notify_load(&mut self) {
         let Some((conn, node)) = self.draw_node() else {
             return;
         };
-        let Some(tag) = self.draw_standing(node) else {
+        let Some(tag) = self.draw_node_session(node) else {
             return;
         };
         let reason = self
             .random
             .pick(&["port", "spine", "got", "level", "other"]);
-        let value = self.random.share();
+        let value = self.random.utilization();
         let text = format!(
             "ANNOUNCE rtsp://media/x RTSP/1.0\r\nCSeq: 4\r\nSession: {tag:016x}\r\nP-Reason: {reason}\r\nX-Value: {value:.3}\r\nContent-Length: 0\r\n\r\n"
         );
-        self.hear(conn, text.as_bytes());
+        self.receive_bytes(conn, text.as_bytes());
     }
 
-    fn node_breaks(&mut self) {
+    fn close_node_connection(&mut self) {
         let Some((conn, _)) = self.draw_node() else {
             return;
         };
         let clean = self.random.percent(50);
-        self.ends(conn, clean);
+        self.close_connection(conn, clean);
     }
 
     // ---- sockets, journal, operator ----------------------------------------------------------
 
-    fn socket_changes(&mut self) {
-        let Some(conn) = self.draw_connection(|c| c.up && c.socket == Socket::Free) else {
+    fn restrict_socket(&mut self) {
+        let Some(conn) = self.draw_connection(|c| c.is_connected && c.socket == Socket::Free)
+        else {
             return;
         };
-        let socket = self
-            .random
-            .pick(&[Socket::Full, Socket::Full, Socket::Half { taken: false }]);
+        let socket = self.random.pick(&[
+            Socket::Full,
+            Socket::Full,
+            Socket::Partial { accepted: false },
+        ]);
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.socket = socket;
         }
     }
 
-    fn sockets_are_free(&mut self) {
-        let found = self.find_connections(|c| c.socket == Socket::Full);
-        for conn in found {
+    fn free_sockets(&mut self) {
+        let matching = self.find_connections(|c| c.socket == Socket::Full);
+        for conn in matching {
             if let Some(connection) = self.connections.get_mut(&conn) {
                 connection.socket = Socket::Free;
                 self.write(conn);
@@ -750,7 +762,7 @@
         }
     }
 
-    fn journal_tells(&mut self) {
+    fn deliver_watch_frame(&mut self) {
         let next = self.protocol.watch_position() + 1;
         let frame = match self.random.below(10) {
             0 => Frame::Heartbeat(next - 1),
@@ -776,25 +788,25 @@
                 entries: vec![self.draw_entry()],
             }),
         };
-        let taken = self.protocol.handle_watch_frame(self.timestamp(), &frame);
-        self.encoder.bool(taken.is_ok());
+        let accepted = self.protocol.handle_watch_frame(self.timestamp(), &frame);
+        self.encoder.bool(accepted.is_ok());
         self.pump();
     }
 
     fn draw_entry(&mut self) -> EndpointEntry {
         let id = self.random.below(NODES) + 1;
-        let up = self.random.percent(75);
-        let state = if up {
+        let is_ready = self.random.percent(75);
+        let state = if is_ready {
             EndpointState::Ready
         } else {
             self.random
                 .pick(&[EndpointState::Draining, EndpointState::Gone])
         };
-        let started = self.random.percent(30).then_some(self.now);
-        entry(id, state, started)
+        let started_at = self.random.percent(30).then_some(self.now);
+        entry(id, state, started_at)
     }
 
-    /// The configuration is read anew: it knows of a later event, or of nothing new.
+    /// Reloads the configuration, which knows of one more watch event or of none.
     fn reconfigure(&mut self) {
         let position = self.protocol.watch_position() + self.random.below(2);
         let phase = self
@@ -805,8 +817,8 @@
         self.pump();
     }
 
-    fn garbage(&mut self) {
-        let Some(conn) = self.draw_connection(|c| c.up) else {
+    fn send_malformed_bytes(&mut self) {
+        let Some(conn) = self.draw_connection(|c| c.is_connected) else {
             return;
         };
         let texts: [&[u8]; 8] = [
@@ -820,7 +832,7 @@
             b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 00000000000000ff\r\nContent-Length: 0\r\n\r\n",
         ];
         let text = self.random.pick(&texts);
-        self.hear(conn, text);
+        self.receive_bytes(conn, text);
     }
 }
 
@@ -830,24 +842,24 @@
         .unwrap_or(0)
 }
 
-fn entry(id: u64, state: EndpointState, came_up: Option<i64>) -> EndpointEntry {
-    let listed = Endpoint {
+fn entry(id: u64, state: EndpointState, started_at: Option<i64>) -> EndpointEntry {
+    let endpoint = Endpoint {
         server: ServerId(id),
         zone: Some(0),
         machine_kind: Some(0),
         cell: (id - 1) % 2,
         state,
         weight: 1.0,
-        started_at: came_up.map(shalewall::Timestamp::from_micros),
+        started_at: started_at.map(shalewall::Timestamp::from_micros),
         fleet: 0,
     };
     EndpointEntry {
-        endpoint: listed,
+        endpoint,
         address: address(id),
     }
 }
 
-/// Takes the first whole RTSP message off the front.
+/// Removes the first complete RTSP message from the written bytes.
 fn next_message(written: &mut Vec<u8>) -> Option<String> {
     let text = String::from_utf8_lossy(written).into_owned();
     let head = text.find("\r\n\r\n")?;
--- a/crates/behavior-digest/src/random.rs
+++ b/crates/behavior-digest/src/random.rs
@@ -27,17 +27,18 @@
         self.below(length as u64) as usize
     }
 
-    /// A number from `least` to `most`.
+    /// A number from `least` to `most`, inclusive.
     pub fn between(&mut self, least: i64, most: i64) -> i64 {
         least + self.below((most - least + 1) as u64) as i64
     }
 
+    /// True with a probability of `chance` percent.
     pub fn percent(&mut self, chance: u64) -> bool {
         self.below(100) < chance
     }
 
-    /// A share in steps of a hundredth, from 0 to 1.2.
-    pub fn share(&mut self) -> f64 {
+    /// A multiple of 0.01 from 0 to 1.2.
+    pub fn utilization(&mut self) -> f64 {
         self.below(121) as f64 / 100.0
     }
 
--- a/crates/behavior-digest/src/scenes.rs
+++ b/crates/behavior-digest/src/scenes.rs
@@ -11,23 +11,23 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// No scene is simulated for longer than this.
-const LONGEST_S: f64 = 400.0;
-/// Scenes of more nodes than `LARGE` are simulated for this long, as their cost grows with the fleet.
-const LONGEST_LARGE_S: f64 = 25.0;
-const LARGE: u64 = 100;
+/// Simulated time of a scene at most.
+const MAX_DURATION_S: f64 = 400.0;
+/// Simulated time at most of a scene with more than [`LARGE_FLEET_NODES`] nodes, as its cost grows with the fleet.
+const MAX_LARGE_FLEET_DURATION_S: f64 = 25.0;
+const LARGE_FLEET_NODES: u64 = 100;
 
 /// Runs all scenes.
 pub fn digest() -> PartDigest {
     let mut encoder = Encoder::new();
     for (number, scene) in all(&base_plan()).into_iter().enumerate() {
         let mut plan = scene.plan;
-        let longest = if plan.fleet.node_count > LARGE {
-            LONGEST_LARGE_S
+        let max_duration_s = if plan.fleet.node_count > LARGE_FLEET_NODES {
+            MAX_LARGE_FLEET_DURATION_S
         } else {
-            LONGEST_S
+            MAX_DURATION_S
         };
-        plan.day.seconds = plan.day.seconds.min(longest);
+        plan.day.seconds = plan.day.seconds.min(max_duration_s);
         for (seed, policy) in [
             (0, Policy::Module),
             (1, Policy::Module),
