--- a/days/bad-day.hcl
+++ b/days/bad-day.hcl
@@ -1,5 +1,5 @@
-# A bad day for three directors and fifteen nodes, some 45 s: nodes die, stand still and are taken away in
-# waves, the list goes out of reach, a director stands still, another is killed, and a crowd comes.
+# A bad day of 45 s for three directors and fifteen nodes: nodes crash, freeze and are preempted in waves, the endpoint
+# list is unreachable, one director freezes, another is killed, and the arrival rate doubles for a while.
 
 day {
   seconds        = 45
--- a/days/fill-2.hcl
+++ b/days/fill-2.hcl
@@ -1,5 +1,5 @@
-# A fleet that fills from empty at 2 new sessions a second, sessions of 60 to 120 s, no troubles, nobody comes
-# again. The uplinks under the full line carry all of them at some 570 kB a second each.
+# A fleet that starts empty and gets 2 new sessions a second of 60 to 120 s, without faults and without retries. Up to
+# their highest allowed utilization, the uplinks carry all of them at about 570 kB a second each.
 
 include = "house.hcl"
 
--- a/days/flap.hcl
+++ b/days/flap.hcl
@@ -1,4 +1,5 @@
-# One node stands still for a second in every four, for a minute. A session is to be moved once at most. Players follow: they have a buffer (a second of what is live, four of what is not), and record each gap.
+# One node freezes for one second in every four, for a minute. A session may be migrated once at most. Players can
+# migrate: they buffer one second of live media and four seconds of recorded media, and they record every gap.
 
 include = "house.hcl"
 
--- a/days/house.hcl
+++ b/days/house.hcl
@@ -1,5 +1,5 @@
-# The house that all days share: its classes, ladder, layout, rules and titles, fifteen nodes and who comes. A day file that
-# includes it tells what is different.
+# Base settings for other days: classes, ladder, layout, rules, titles, fifteen nodes and the load. A day file that
+# includes this one states only the differences.
 
 site {
   zones = ["north", "garden", "east"]
--- a/days/moves.hcl
+++ b/days/moves.hcl
@@ -1,5 +1,6 @@
-# Sessions are handed over while they play: nodes drain, stand still, flap, die without a word and run short, a director
-# stands still. Players follow: they have a buffer (a second of what is live, four of what is not), and record each gap.
+# Sessions are migrated while they play: nodes drain, freeze, flap, vanish without closing their connections and run
+# short of bandwidth, and a director freezes. Players can migrate: they buffer one second of live media and four seconds
+# of recorded media, and they record every gap.
 
 include = "house.hcl"
 
@@ -61,7 +62,8 @@
   len_s = 5
   part  = 0.15
 }
-# Links that give less and less, at last less than what is there asks at its lowest rungs; then the nodes die.
+# The links of two nodes slow down until they cannot carry their sessions even at the lowest rungs; then these nodes
+# crash.
 trouble "short" {
   kind  = "ageing"
   at_s  = 42
--- a/days/short-bad-day.hcl
+++ b/days/short-bad-day.hcl
@@ -1,5 +1,5 @@
-# The bad day in short, for the tests: some 20 s in all. A director stands still, another is killed, nodes
-# die, stand still and are taken away, and the list goes out of reach while they are.
+# The bad day in about 20 s, for tests: one director freezes, another is killed, nodes crash, freeze and are preempted,
+# and the endpoint list is unreachable at that time.
 
 include = "house.hcl"
 
--- a/days/short-hosted-day.hcl
+++ b/days/short-hosted-day.hcl
@@ -1,5 +1,5 @@
-# A hosted service for some 20 s: a quiet tenant, and one that sends ten times its share while boxes die, stand
-# still and are taken away and a director is killed. Each of the two has half of the fleet and of the fronts.
+# A hosted service for about 20 s: a quiet tenant and one that sends ten times its share, while nodes crash, freeze and
+# are preempted and a director is killed. Each tenant has a share of half of the fleet and of the directors.
 
 include = "house.hcl"
 
--- a/days/short-moves.hcl
+++ b/days/short-moves.hcl
@@ -1,5 +1,5 @@
-# Hand-overs in short, for the tests: nodes drain, stand still and die, a director is killed in the middle of it. Players
-# follow: they have a buffer (a second of what is live, two of what is not), and record each gap.
+# Migrations in a short day, for tests: nodes drain, freeze and crash, and a director is killed during migrations.
+# Players can migrate: they buffer one second of live media and two seconds of recorded media, and record every gap.
 
 include = "house.hcl"
 
--- a/days/short-rough-day.hcl
+++ b/days/short-rough-day.hcl
@@ -1,5 +1,5 @@
-# The other kinds of trouble in short: boxes go silent, a wing is lost with its directors, links slow down,
-# another program eats into them, boxes age and die, and a crowd comes for one title.
+# Other kinds of fault in a short day: nodes vanish, a zone is lost with its directors, links slow down, another program
+# takes part of their capacity, nodes age and fail, and many viewers request one title.
 
 include = "house.hcl"
 
