--- a/crates/behavior-digest/src/decisions.rs
+++ b/crates/behavior-digest/src/decisions.rs
@@ -1,5 +1,5 @@
-//! Digest of the decision module: every action of `shalewall::Director` and its estimates of the servers, for random valid
-//! events under several settings.
+//! Digest of the decision module: every action of `shalewall::Director` and its estimates of the servers, for random
+//! valid events under several settings.
 
 use crate::encoder::{Encoder, PartDigest};
 use crate::random::Random;
@@ -660,7 +660,8 @@
         self.deliver_event(Event::RequestWithdrawn(SessionId(id)));
     }
 
-    /// Changes the classes' priority weights and session limits and the tenants' quotas. The classes keep their indices.
+    /// Changes the classes' priority weights and session limits and the tenants' quotas. The classes keep their
+    /// indices.
     fn update_settings(&mut self) {
         let mut classes = self.settings.classes.clone();
         let mut tenants = self.settings.tenants.clone();
--- a/crates/behavior-digest/src/engine.rs
+++ b/crates/behavior-digest/src/engine.rs
@@ -1,5 +1,5 @@
-//! Digest of the engine: every output of `shalewall_engine::Engine` for random inputs in simulated time. The inputs come
-//! from viewers, players, nodes, the endpoint list and the terms of tenants, with migration and without.
+//! Digest of the engine: every output of `shalewall_engine::Engine` for random inputs in simulated time. The inputs
+//! come from viewers, players, nodes, the endpoint list and the terms of tenants, with migration and without.
 
 use crate::encoder::{Encoder, PartDigest};
 use crate::random::Random;
--- a/crates/behavior-digest/src/platform_protocol.rs
+++ b/crates/behavior-digest/src/platform_protocol.rs
@@ -1,5 +1,5 @@
-//! Digest of the platform's protocol: every output of `shalewall_platform_proto::DirectorProtocol` and every byte that it
-//! writes to each connection, for random steps of viewers, nodes, the journal service and the operator.
+//! Digest of the platform's protocol: every output of `shalewall_platform_proto::DirectorProtocol` and every byte that
+//! it writes to each connection, for random steps of viewers, nodes, the journal service and the operator.
 
 use crate::encoder::{Encoder, PartDigest};
 use crate::random::Random;
--- a/crates/load-test/src/tenants.rs
+++ b/crates/load-test/src/tenants.rs
@@ -1,5 +1,5 @@
-//! Measures the effect of other tenants on a quiet tenant of the same director, one neighbour at a time, and the cost of
-//! idle tenants.
+//! Measures the effect of other tenants on a quiet tenant of the same director, one neighbour at a time, and the cost
+//! of idle tenants.
 
 use crate::load::{self, Outcome, Plan};
 use crate::{ServerProcess, nodes};
--- a/crates/simulation/src/bounds.rs
+++ b/crates/simulation/src/bounds.rs
@@ -12,8 +12,8 @@
 pub struct Bounds {
     /// No choice of nodes and rungs could have earned more.
     pub maximum: f64,
-    /// By rung: worth if all viewers play at that rung, or at the nearest one that class and player allow, and the excess
-    /// over the capacity is not served.
+    /// By rung: worth if all viewers play at that rung, or at the nearest one that class and player allow, and the
+    /// excess over the capacity is not served.
     pub at_constant_rung: Vec<f64>,
 }
 
--- a/crates/simulation/src/scenes.rs
+++ b/crates/simulation/src/scenes.rs
@@ -9,8 +9,8 @@
     pub plan: DayPlan,
 }
 
-/// The usual load: arrivals a second at which the uplinks, at full utilization, carry all viewers at the ladder's middle
-/// rung in the steady state.
+/// The usual load: arrivals a second at which the uplinks, at full utilization, carry all viewers at the ladder's
+/// middle rung in the steady state.
 fn usual_arrivals_per_s(plan: &DayPlan) -> f64 {
     let ladder = &plan.site.ladder;
     let racks = plan.site.layout.rack_count as f64;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -603,8 +603,8 @@
 
     // ---- nodes ------------------------------------------------------------------------------
 
-    /// A node's process dies: its sessions end, calls to it fail with an unknown outcome, and the directors see the lost
-    /// connection after the network delay.
+    /// A node's process dies: its sessions end, calls to it fail with an unknown outcome, and the directors see the
+    /// lost connection after the network delay.
     fn crash_node(&mut self, node: u64) {
         let Some(n) = self.fleet.nodes.get_mut(&node) else {
             return;
--- a/crates/simulation/src/world/viewers.rs
+++ b/crates/simulation/src/world/viewers.rs
@@ -206,8 +206,8 @@
         self.finish_session(session, abandoned);
     }
 
-    /// A session is over for its viewer. If it was interrupted before the end of the viewer's watch time, the viewer may
-    /// retry.
+    /// A session is over for its viewer. If it was interrupted before the end of the viewer's watch time, the viewer
+    /// may retry.
     pub(super) fn finish_session(&mut self, session: u64, interrupted: bool) {
         let Some(playing_session) = self.playing_sessions.remove(&session) else {
             return;
