--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -276,7 +276,7 @@
             .fleet
             .nodes
             .get(&node_id)
-            .is_some_and(|n| n.fell_over);
+            .is_some_and(|n| n.overloaded);
         let mut inner = self.inner.borrow_mut();
         if let Some(server) = inner.servers.get_mut(&node_id) {
             if server.accept_task.take().is_none() {
--- a/crates/emulator/src/viewers.rs
+++ b/crates/emulator/src/viewers.rs
@@ -228,8 +228,8 @@
             title: drawn.title,
             highest_rung: drawn.highest_rung,
             until: now + drawn.watch_time,
-            supports_migration: self.population.follow_fraction > 0.0
-                && self.random_fraction() < self.population.follow_fraction,
+            supports_migration: self.population.migratable_fraction > 0.0
+                && self.random_fraction() < self.population.migratable_fraction,
             stall: Cell::default(),
             was_rejected: Cell::default(),
             has_played: Cell::default(),
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/fleet-model/src/fleet.rs
@@ -116,8 +116,8 @@
     pub started_at: Timestamp,
     /// Whether it had its full capacity from its start.
     pub started_warm: bool,
-    /// Whether it failed of overload.
-    pub fell_over: bool,
+    /// Whether its process failed because of overload; reset by the next start.
+    pub overloaded: bool,
     /// Sessions that are playing.
     pub playing: BTreeMap<AttemptId, ActiveSession>,
     /// Number of set-ups in progress.
@@ -201,7 +201,7 @@
             process: ProcessState::Running,
             started_at: now,
             started_warm: warm,
-            fell_over: false,
+            overloaded: false,
             playing: BTreeMap::new(),
             setups_in_flight: 0,
             ended: BTreeSet::new(),
@@ -258,7 +258,7 @@
         };
         node.count_arrival(now, window);
         if is_cold && node.arrivals.len() as f64 > overload_limit {
-            node.fell_over = true;
+            node.overloaded = true;
             node.process = ProcessState::Down;
             return SetupDecision::Overloaded;
         }
--- a/crates/fleet-model/src/population.rs
+++ b/crates/fleet-model/src/population.rs
@@ -66,7 +66,7 @@
     /// Backoff before a retry.
     pub retry_pause: Duration,
     /// Fraction of viewers whose players support session migration.
-    pub follow_fraction: f64,
+    pub migratable_fraction: f64,
     /// Length of the buffer of such a player for a live title.
     pub live_buffer: Duration,
     /// Length of the buffer of such a player for a recorded title.
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -108,7 +108,7 @@
         limited_fraction: load.constrained_fraction,
         retry_fraction: load.retry_fraction,
         retry_pause: ms(load.retry_pause_ms),
-        follow_fraction: load.migratable_fraction,
+        migratable_fraction: load.migratable_fraction,
         live_buffer: ms(load.live_buffer_ms),
         recorded_buffer: ms(load.recorded_buffer_ms),
         utility: site.ladder.iter().map(|r| r.utility).collect(),
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -179,7 +179,7 @@
             }
         }
     }
-    world.result.count.fell = world.fleet.nodes.values().filter(|n| n.fell_over).count() as u64;
+    world.result.count.fell = world.fleet.nodes.values().filter(|n| n.overloaded).count() as u64;
     Ok(world.result)
 }
 
@@ -604,7 +604,7 @@
         let Some(n) = self.fleet.nodes.get(&node) else {
             return;
         };
-        if n.fell_over {
+        if n.overloaded {
             return; // pushed over: it stays down
         }
         let machine = n.machine.clone();
