--- a/crates/audit/src/judge/attempts.rs
+++ b/crates/audit/src/judge/attempts.rs
@@ -29,7 +29,7 @@
     /// Nodes that hold the session now: two during a migration.
     pub holders: BTreeSet<u64>,
     /// When its set-up ended; `None` while it is in flight.
-    pub answered_at: Option<Timestamp>,
+    pub finished_at: Option<Timestamp>,
     /// When the last holder released it.
     pub released_at: Option<Timestamp>,
     /// How its set-up ended.
@@ -90,7 +90,7 @@
             class: set_up.class.to_string(),
             title: set_up.title.to_string(),
             holders: BTreeSet::new(),
-            answered_at: None,
+            finished_at: None,
             released_at: None,
             outcome: None,
         };
@@ -114,7 +114,7 @@
         outcome: SetUpOutcome,
     ) -> Option<Route> {
         let attempt = self.attempts.get_mut(&id)?;
-        attempt.answered_at.get_or_insert(time);
+        attempt.finished_at.get_or_insert(time);
         attempt.outcome = Some(outcome);
         Some(attempt.route)
     }
@@ -123,7 +123,7 @@
     pub fn node_down(&mut self, id: AttemptId, node: u64, time: Timestamp) -> Option<u32> {
         let attempt = self.attempts.get_mut(&id)?;
         if attempt.route.node == node {
-            attempt.answered_at.get_or_insert(time);
+            attempt.finished_at.get_or_insert(time);
         }
         Some(attempt.route.director)
     }
--- a/crates/audit/src/judge/directors.rs
+++ b/crates/audit/src/judge/directors.rs
@@ -1,4 +1,4 @@
-//! What each director could know about the nodes, and when it was stopped or killed.
+//! What each director could know about the nodes, and when it was suspended or killed.
 
 use super::Route;
 use crate::record::{READY, Record};
--- a/crates/audit/src/judge/duplicates.rs
+++ b/crates/audit/src/judge/duplicates.rs
@@ -68,7 +68,7 @@
     let AttemptId { session, number } = id;
     let earlier_number = earlier_id.number;
     let mut violations = Vec::new();
-    if earlier.answered_at.is_none() {
+    if earlier.finished_at.is_none() {
         violations.push(format!(
             "session {session}: attempt {number} while {earlier_number} is out"
         ));
--- a/crates/audit/src/judge/slow_start.rs
+++ b/crates/audit/src/judge/slow_start.rs
@@ -23,7 +23,7 @@
 
 /// A set-up or migration that a node received while it was warming up.
 #[derive(Clone, Copy)]
-struct Send {
+struct SentSetUp {
     time: Timestamp,
     /// Whether its director could know of the node's start.
     director_was_informed: bool,
@@ -47,7 +47,7 @@
 #[derive(Default)]
 pub(super) struct StartingNodes {
     starts: BTreeMap<u64, NodeStart>,
-    sends: BTreeMap<u64, Vec<Send>>,
+    sends: BTreeMap<u64, Vec<SentSetUp>>,
 }
 
 impl StartingNodes {
@@ -68,7 +68,7 @@
         cold.then_some(start)
     }
 
-    fn add_send(&mut self, node: u64, send: Send) {
+    fn add_send(&mut self, node: u64, send: SentSetUp) {
         self.sends.entry(node).or_default().push(send);
     }
 
@@ -104,7 +104,7 @@
             return;
         };
         let director_was_informed = self.directors.knew_start(route, start.time, time);
-        let send = Send {
+        let send = SentSetUp {
             time,
             director_was_informed,
         };
--- a/crates/audit/src/migrations.rs
+++ b/crates/audit/src/migrations.rs
@@ -60,7 +60,8 @@
     report.longest_gaps.sort_unstable();
 }
 
-/// Whether the source was healthy, or recovered soon, and was neither draining nor short of capacity.
+/// Whether the migration was not needed: the source was healthy or recovered within [`REGRET_WINDOW`], and was not
+/// draining, gone or short of bandwidth.
 fn is_regretted(observations: &Observations, migration: &Migration, source: u64) -> bool {
     let requested_at = migration.requested_at;
     let from = requested_at - GAP_CAUSE_WINDOW;
--- a/crates/audit/src/migrations/report.rs
+++ b/crates/audit/src/migrations/report.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GapCause {
-    /// The node died or was draining.
+    /// The node died, or was listed as draining or gone.
     #[serde(rename = "death")]
     NodeLost,
     /// The node's process was frozen.
@@ -65,7 +65,7 @@
 }
 
 impl MigrationReport {
-    /// Quantile of the longest gaps around the migrations.
+    /// Quantile of the longest gaps around the migrations, with `fraction` from 0 to 1; zero without migrations.
     pub fn gap_quantile(&self, fraction: f64) -> TimeDelta {
         let count = self.longest_gaps.len();
         let rank = (count as f64 * fraction).ceil() as usize;
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -55,7 +55,8 @@
         self.class(tenant, class).is_none_or(|rule| rule.paid)
     }
 
-    /// The tenant if it has its own classes; its sessions then share no seats with those of others.
+    /// The tenant under which seats are counted: the tenant itself if it has its own classes, otherwise none, because all
+    /// other tenants share the seats of a class.
     pub fn seat_owner(&self, tenant: Option<&str>) -> Option<String> {
         let owner = tenant.filter(|name| self.tenants.contains_key(*name));
         owner.map(str::to_string)
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -25,7 +25,7 @@
 }
 
 impl Rule {
-    /// All of them, in the order of reports.
+    /// All rules, in the order in which reports list them.
     pub const ALL: [Rule; 6] = [
         Rule::OneAnswer,
         Rule::NoDuplicateSetUp,
--- a/crates/emulator/src/nodes/media.rs
+++ b/crates/emulator/src/nodes/media.rs
@@ -15,8 +15,8 @@
 /// Query parameters of a media request.
 pub(super) struct MediaRequest {
     epoch: Option<Epoch>,
-    /// Start position and lead over real time in milliseconds, and whether the title is live: its positions are Unix
-    /// time, and media of the future does not exist yet.
+    /// Start position and lead over real time in milliseconds, and whether the title is live. The positions of a live
+    /// title are Unix times, and it has no media beyond the current time.
     playback_range: Option<(f64, f64, bool)>,
 }
 
--- a/crates/emulator/src/nodes/migration.rs
+++ b/crates/emulator/src/nodes/migration.rs
@@ -329,7 +329,7 @@
     }
 }
 
-/// Stream that is reserved while a migrated session is prepared; freed when this is dropped armed.
+/// Stream that is reserved while a migrated session is prepared. Dropping this frees the stream while `armed` is set.
 struct SetUpReservation {
     nodes: Nodes,
     node_id: u64,
--- a/crates/emulator/src/player.rs
+++ b/crates/emulator/src/player.rs
@@ -65,13 +65,14 @@
     sources: Vec<String>,
     migration: PlayerMigration,
     playhead: Playhead,
+    /// Lead over real time that media is requested with: the length of the buffer.
     ahead: Micros,
     live: bool,
     streams: BTreeMap<(u64, Epoch), Task<()>>,
     events: Sender<PlayerEvent>,
     last_received: Micros,
     last_silence_report: Micros,
-    /// When the fetch from a new node began whose first frame has not arrived yet.
+    /// Start of the fetch from a new node, until its first frame arrives.
     switch_started: Option<Micros>,
     session_over: bool,
 }
@@ -459,7 +460,7 @@
             && (stalled_since.is_some() || !player.playhead.has_started());
         let start_timed_out =
             !player.playhead.has_started() && now - player.last_received >= STALL_TIMEOUT_US;
-        // Without an offer of another node, a session whose streams have ended is over once its buffer is empty.
+        // A session whose streams have ended is over after a stall of 1.5 s without an offer of another node.
         if stall_timed_out
             || session_ended
             || start_timed_out
--- a/crates/emulator/src/viewers.rs
+++ b/crates/emulator/src/viewers.rs
@@ -42,7 +42,7 @@
     request_count: Rc<Cell<u64>>,
     /// Results so far.
     pub results: Rc<RefCell<ViewerResults>>,
-    /// Factor of the usual arrival rate.
+    /// Factor of the usual arrival rate of all viewers.
     rate_factor: Rc<Cell<f64>>,
     tenant_rate_factors: Rc<RefCell<BTreeMap<String, f64>>>,
     /// Interest of additional viewers, and their arrivals as a fraction of the usual rate.
@@ -128,12 +128,12 @@
         director_addresses[number as usize] = address;
     }
 
-    /// Multiplies the arrival rate of all viewers by a factor.
+    /// Sets the factor of the usual arrival rate of all viewers; 1 is the usual rate.
     pub fn set_rate_factor(&self, factor: f64) {
         self.rate_factor.set(factor.max(0.0));
     }
 
-    /// Multiplies the arrival rate of a tenant's viewers by a factor.
+    /// Sets the factor of the usual arrival rate of a tenant's viewers; 1 is the usual rate.
     pub fn set_tenant_rate_factor(&self, tenant: &str, factor: f64) {
         self.tenant_rate_factors
             .borrow_mut()
@@ -179,13 +179,17 @@
         let tenant = self.population.tenants.get(stream).cloned();
         let mut next = Instant::now();
         loop {
-            let surge_fraction = self.surge.borrow().as_ref().map_or(0.0, |(_, part)| *part);
-            let all = self.rate_factor.get() + surge_fraction;
+            let surge_factor = self
+                .surge
+                .borrow()
+                .as_ref()
+                .map_or(0.0, |(_, factor)| *factor);
+            let total_factor = self.rate_factor.get() + surge_factor;
             let tenant_factor = tenant.as_ref().map_or(1.0, |(name, factor)| {
                 factor * self.tenant_rate_factors.borrow().get(name).unwrap_or(&1.0)
             });
             next += self.population.time_to_next_arrival(
-                all * tenant_factor,
+                total_factor * tenant_factor,
                 &mut self.arrival_rngs.borrow_mut()[stream],
             );
             if next >= until {
@@ -196,7 +200,7 @@
             let viewers = self.clone();
             let viewer = self.draw_viewer(
                 stream,
-                surge_fraction / all,
+                surge_factor / total_factor,
                 tenant.as_ref().map(|(name, _)| name.clone()),
             );
             self.active_viewers.set(self.active_viewers.get() + 1);
@@ -209,9 +213,12 @@
         }
     }
 
-    fn draw_viewer(&self, stream: usize, part: f64, tenant: Option<String>) -> Viewer {
+    /// Draws a viewer of an arrival stream. `surge_fraction` is the fraction of arrivals that belong to the surge.
+    fn draw_viewer(&self, stream: usize, surge_fraction: f64, tenant: Option<String>) -> Viewer {
         let surge = self.surge.borrow();
-        let surge = surge.as_ref().map(|(interest, _)| (interest, part));
+        let surge = surge
+            .as_ref()
+            .map(|(interest, _)| (interest, surge_fraction));
         let drawn = self
             .population
             .draw_viewer(surge, &mut self.arrival_rngs.borrow_mut()[stream]);
@@ -585,7 +592,7 @@
     (head.status == 200).then_some(frames)
 }
 
-/// Measures received and expected media of a player without a buffer, by the viewer's clock.
+/// Measures the received and the expected media of a player without a buffer, in real time at the viewer.
 struct PlaybackMeter {
     buf: Vec<u8>,
     bytes_received: u64,
@@ -672,7 +679,7 @@
         }
     }
 
-    /// Whether too little media arrives for the viewer to stay.
+    /// Whether, after the first 3 s, less than 75% of the expected media has arrived recently.
     fn is_poor(&self) -> bool {
         self.recent_delivery < 0.75 && self.started_at.elapsed() > Duration::from_secs(3)
     }
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/fleet-model/src/fleet.rs
@@ -39,7 +39,7 @@
     pub initial_capacity: f64,
     /// A cold node fails when set-ups arrive at more than this multiple of the rate that it can accept.
     pub overload_factor: f64,
-    /// Window over which the arrivals are counted.
+    /// Window over which arriving set-ups are counted for `overload_factor`.
     pub overload_window: TimeDelta,
     /// Uplink bandwidth of each rack in kilobytes per second; empty if racks have no uplink limit.
     pub uplinks_kb_s: Vec<f64>,
--- a/crates/scripted-days/src/error.rs
+++ b/crates/scripted-days/src/error.rs
@@ -8,13 +8,15 @@
 #[derive(Debug, Error)]
 pub enum DayError {
     /// The day has more directors than one machine can run as processes.
-    #[error("{limit} directors at most can be run as processes of one machine")]
+    #[error("at most {limit} directors can run as processes on one machine")]
     TooManyDirectors {
         /// Maximum number of directors.
         limit: u32,
     },
     /// The descriptor limit of this process is too low for the day.
-    #[error("the day needs some {needed} descriptors, and this process may have {available}")]
+    #[error(
+        "the day needs up to {needed} file descriptors, but the limit of this process is {available}"
+    )]
     TooFewDescriptors {
         /// Estimated upper bound of the descriptors that the day needs.
         needed: u64,
@@ -22,7 +24,7 @@
         available: u64,
     },
     /// A director's process did not report its listening address in time.
-    #[error("director {number} does not listen: see its log")]
+    #[error("director {number} did not report its listening address: see its log")]
     DirectorNotListening {
         /// Its number.
         number: u32,
--- a/crates/scripted-days/src/faults.rs
+++ b/crates/scripted-days/src/faults.rs
@@ -182,11 +182,11 @@
     async fn lose_zone(&self) {
         let zone = self.fault.target_name.as_deref();
         let nodes = &self.emulation.nodes;
-        let is_there = |id: &u64| {
+        let is_in_zone = |id: &u64| {
             let machine = nodes.machine(*id);
             machine.is_some_and(|machine| machine.zone == zone.unwrap_or_default())
         };
-        let ids: Vec<u64> = nodes.running().into_iter().filter(is_there).collect();
+        let ids: Vec<u64> = nodes.running().into_iter().filter(is_in_zone).collect();
         let lost_directors = if self.fault.directors {
             self.directors.numbers(zone)
         } else {
--- a/crates/scripted-days/src/import/error.rs
+++ b/crates/scripted-days/src/import/error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Error)]
 pub enum ImportError {
     /// The text is not valid JSON.
-    #[error("is not JSON: {0}")]
+    #[error("is not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// A value of the day file is invalid.
     #[error("{path}: {problem}")]
@@ -25,7 +25,7 @@
     #[error("has to be a number")]
     NotANumber,
     /// Missing, or not a string.
-    #[error("has to be a text")]
+    #[error("has to be a string")]
     NotAText,
     /// Missing, or not a list.
     #[error("has to be a list")]
@@ -37,9 +37,9 @@
     #[error("is missing")]
     Missing,
     /// The day file belongs to another family.
-    #[error("only days of streams have a counterpart")]
+    #[error("has to be \"streams\": days of other families cannot be imported")]
     NotOfStreams,
     /// No directors, or more than one machine can run.
-    #[error("1 to 64 directors can be run as processes of one machine")]
+    #[error("has to list 1 to 64 directors, which run as processes on one machine")]
     DirectorCount,
 }
--- a/crates/scripted-days/src/import/faults.rs
+++ b/crates/scripted-days/src/import/faults.rs
@@ -70,7 +70,9 @@
 struct BenchFault {
     start_s: f64,
     duration_s: f64,
+    /// Magnitude; its unit depends on the kind, such as a factor of the load or the notice of a preemption in seconds.
     size: f64,
+    /// Second magnitude; only preemptions use it, in seconds.
     extra: f64,
     /// Position of the affected tenant or title.
     target_index: usize,
--- a/crates/scripted-days/src/import/load.rs
+++ b/crates/scripted-days/src/import/load.rs
@@ -5,9 +5,9 @@
 use shalewall_settings::{Load, Site};
 use std::collections::BTreeMap;
 
-/// Session lengths are uniformly distributed from this multiple of the day's mean ...
+/// Lower bound of the uniform distribution of session lengths, as a multiple of the day's mean.
 const MIN_LENGTH_FACTOR: f64 = 0.3;
-/// ... to this one.
+/// Upper bound of that distribution, as a multiple of the day's mean.
 const MAX_LENGTH_FACTOR: f64 = 1.7;
 
 pub(super) fn load(day: &Reader, site: &Site) -> Result<Load, ImportError> {
--- a/crates/scripted-days/src/rules.rs
+++ b/crates/scripted-days/src/rules.rs
@@ -21,12 +21,12 @@
             .map(|name| (name.clone(), classes.clone()))
             .collect(),
         classes,
-        drain_within: length(site.rules.drain_grace_ms),
-        answer_slack: length(site.rules.answer_slack_ms),
-        warm_after: length(site.rules.warm_up_ms),
+        drain_within: time_delta(site.rules.drain_grace_ms),
+        answer_slack: time_delta(site.rules.answer_slack_ms),
+        warm_after: time_delta(site.rules.warm_up_ms),
         start_capacity: site.rules.initial_capacity,
         overload_factor: site.rules.overload_factor,
-        overload_window: length(site.rules.overload_window_ms),
+        overload_window: time_delta(site.rules.overload_window_ms),
         retry_budget: site.rules.retry_budget.as_ref().map(retry_rule),
         transit: TRANSIT,
         cells: site.layout.cell_count,
@@ -44,7 +44,7 @@
     }
 }
 
-fn length(millis: f64) -> TimeDelta {
+fn time_delta(millis: f64) -> TimeDelta {
     TimeDelta::from_micros(micros_from_millis(millis))
 }
 
@@ -59,6 +59,6 @@
     RetryBudget {
         free: budget.base,
         per_request: budget.per_request,
-        window: length(budget.window_ms),
+        window: time_delta(budget.window_ms),
     }
 }
--- a/crates/test-harness/src/node.rs
+++ b/crates/test-harness/src/node.rs
@@ -19,8 +19,8 @@
 const RESPONSE_DELAY_US: std::ops::Range<i64> = 2_000..30_000;
 /// Duration of a session, unless it is ended earlier.
 const SESSION_DURATION_US: std::ops::Range<i64> = 300_000..3_000_000;
-/// Interval of load notes on each session.
-const LOAD_NOTE_INTERVAL_US: i64 = 1_000_000;
+/// Interval of load reports on each session.
+const LOAD_REPORT_INTERVAL_US: i64 = 1_000_000;
 /// Number of streams at which a node reports full utilization.
 pub const STREAM_CAPACITY: f64 = 60.0;
 
@@ -46,7 +46,7 @@
     connection: u64,
     attempt: u32,
     ends_at: i64,
-    last_note: i64,
+    last_report: i64,
 }
 
 #[derive(Default)]
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Sends the responses, releases and load notes that are due.
+    /// Sends the responses, releases and load reports that are due.
     fn tick(&self) {
         let t = now();
         let mut inner = self.lock();
@@ -256,17 +256,17 @@
                 .for_each(|connection| send(&mut inner, connection, &rtsp::release(tag, 16)));
         }
         let utilization = inner.sessions.len() as f64 / STREAM_CAPACITY;
-        let mut notes = Vec::new();
+        let mut reports = Vec::new();
         for (tag, s) in inner
             .sessions
             .iter_mut()
-            .filter(|(_, s)| t - s.last_note >= LOAD_NOTE_INTERVAL_US)
+            .filter(|(_, s)| t - s.last_report >= LOAD_REPORT_INTERVAL_US)
         {
-            s.last_note = t;
-            notes.push((s.connection, *tag));
+            s.last_report = t;
+            reports.push((s.connection, *tag));
         }
-        for (connection, tag) in notes {
-            send(&mut inner, connection, &rtsp::load_note(tag, utilization));
+        for (connection, tag) in reports {
+            send(&mut inner, connection, &rtsp::load_report(tag, utilization));
         }
     }
 
@@ -307,7 +307,7 @@
                 connection,
                 attempt,
                 ends_at,
-                last_note: now(),
+                last_report: now(),
             },
         );
         send(inner, connection, &rtsp::response(tag, 200, &description));
--- a/crates/test-harness/src/rtsp.rs
+++ b/crates/test-harness/src/rtsp.rs
@@ -84,8 +84,8 @@
         .into()
 }
 
-/// A note on a session with the utilization of the node's link.
-pub fn load_note(tag: u64, utilization: f64) -> Vec<u8> {
+/// A load report with the utilization of the node's link, sent on a session.
+pub fn load_report(tag: u64, utilization: f64) -> Vec<u8> {
     let head = "ANNOUNCE rtsp://media/x RTSP/1.0\r\nCSeq: 4\r\n";
     format!(
         "{head}Session: {tag:016x}\r\nP-Reason: port\r\nX-Value: {utilization:.3}\r\nContent-Length: 0\r\n\r\n"
