--- a/crates/fleet-model/src/population.rs
+++ b/crates/fleet-model/src/population.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Maximum worth of a viewer's session if it ends after `within`, in seconds at utility 1.
+    /// Maximum worth that a viewer can earn in the duration `within`, in seconds at utility 1.
     pub fn worth_offered(&self, viewer: &DrawnViewer, within: Duration) -> f64 {
         let utility = self.utility.get(viewer.highest_rung).copied();
         let seconds = viewer.watch_time.min(within).as_secs_f64();
