--- a/crates/fleet-model/src/population.rs
+++ b/crates/fleet-model/src/population.rs
@@ -66,7 +66,7 @@
     /// Backoff before a retry.
     pub retry_pause: Duration,
     /// Fraction of viewers whose players support session migration.
-    pub follow_fraction: f64,
+    pub migratable_fraction: f64,
     /// Length of the buffer of such a player for a live title.
     pub live_buffer: Duration,
     /// Length of the buffer of such a player for a recorded title.
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Worth that a viewer could earn within `within`, in seconds at utility 1.
+    /// Maximum worth that a viewer can earn in the duration `within`, in seconds at utility 1.
     pub fn worth_offered(&self, viewer: &DrawnViewer, within: Duration) -> f64 {
         let utility = self.utility.get(viewer.highest_rung).copied();
         let seconds = viewer.watch_time.min(within).as_secs_f64();
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -108,7 +108,7 @@
         limited_fraction: load.constrained_fraction,
         retry_fraction: load.retry_fraction,
         retry_pause: duration_from_millis(load.retry_pause_ms),
-        follow_fraction: load.migratable_fraction,
+        migratable_fraction: load.migratable_fraction,
         live_buffer: duration_from_millis(load.live_buffer_ms),
         recorded_buffer: duration_from_millis(load.recorded_buffer_ms),
         utility: site.ladder.iter().map(|r| r.utility).collect(),
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -202,7 +202,7 @@
         }
     }
     world.result.totals.overloaded_nodes =
-        world.fleet.nodes.values().filter(|n| n.fell_over).count() as u64;
+        world.fleet.nodes.values().filter(|n| n.overloaded).count() as u64;
     Ok(world.result)
 }
 
@@ -653,7 +653,7 @@
         let Some(n) = self.fleet.nodes.get(&node) else {
             return;
         };
-        if n.fell_over {
+        if n.overloaded {
             return; // A node that failed by overload is not restarted.
         }
         let machine = n.machine.clone();
