--- a/crates/settings/src/day/violations.rs
+++ b/crates/settings/src/day/violations.rs
@@ -30,11 +30,11 @@
             let rule = Rule::LongestBelowShortest;
             violations.push(Violation::new("load.longest_s", rule));
         }
-        let mut parts = self.load.class_mix.values();
-        if parts.any(|part| !part.is_finite() || *part < 0.0)
+        let mut frequencies = self.load.class_mix.values();
+        if frequencies.any(|frequency| !frequency.is_finite() || *frequency < 0.0)
             || self.load.class_mix.values().sum::<f64>() <= 0.0
         {
-            violations.push(Violation::new("load.mix", Rule::MixWithoutParts));
+            violations.push(Violation::new("load.mix", Rule::InvalidClassMix));
         }
     }
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -51,10 +51,10 @@
     #[error("{0}")]
     Schema(String),
     /// A value is outside its range.
-    #[error("{0}")]
+    #[error("out of range: {0}")]
     Range(String),
     /// The included file is given as a path instead of a file name.
-    #[error("has to name a file of the same folder")]
+    #[error("has to be the name of a file in the same folder, without a path")]
     IncludeOutsideFolder,
     /// The values of several fields are inconsistent.
     #[error(transparent)]
