--- a/crates/admin/src/openapi.rs
+++ b/crates/admin/src/openapi.rs
@@ -1,11 +1,11 @@
-//! The OpenAPI 3.1 document, made from the table of operations.
+//! The OpenAPI 3.1 document, generated from the table of operations.
 
 use crate::routes::{COMMON_STATUSES, Operation, ROUTES, Route, ServiceOperation, TenantOperation};
 use serde_json::{Map, Value, json};
-use shalewall_http::head::reason;
+use shalewall_http::head::reason_phrase;
 use shalewall_tenancy::schema::terms_schema;
 
-/// The document as it is published.
+/// The published document.
 pub fn document() -> Value {
     let mut paths: Map<String, Value> = Map::new();
     for route in &ROUTES {
@@ -42,7 +42,7 @@
 fn responses(route: &Route) -> Value {
     let mut responses = Map::new();
     for status in route.statuses.iter().chain(&COMMON_STATUSES) {
-        let mut response = json!({ "description": reason(*status) });
+        let mut response = json!({ "description": reason_phrase(*status) });
         match status {
             204 => {}
             200..=299 => response["content"] = content("application/json", json!({})),
--- a/crates/admin/src/service_operations.rs
+++ b/crates/admin/src/service_operations.rs
@@ -1,5 +1,4 @@
-//! Operations on the service as a whole: the directory of tenants, the order of changes, directors' reports and
-//! tokens.
+//! Operations on the service as a whole: the list of tenants, the feed of changes, directors' usage reports and tokens.
 
 use crate::api::{Api, Call};
 use crate::error::ApiError;
@@ -18,14 +17,14 @@
 use shalewall_tenancy::token::{IssuedToken, Token};
 use shalewall_tenancy::usage::{TooManyDirectors, UsageReport};
 
-/// Content of a request for a new tenant.
+/// Content of a request to create a tenant.
 #[derive(Deserialize)]
 struct NewTenant {
     id: String,
     terms: Value,
 }
 
-/// Content of a request for a new token.
+/// Content of a request to create a token.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 struct NewToken {
@@ -33,21 +32,21 @@
     tenant: Option<String>,
 }
 
-fn ok(content: Value) -> Result<Reply, ApiError> {
+fn json_reply(content: Value) -> Result<Reply, ApiError> {
     Ok(Reply::json(200, content.to_string()))
 }
 
 impl Api {
-    /// `id`: of the path, for the operation that takes one.
-    pub(crate) fn serve_service(
+    /// Executes an operation. `id` is the id in the path, or empty if the path has none.
+    pub(crate) fn execute_service_operation(
         &self,
         operation: ServiceOperation,
         id: &str,
         call: &Call<'_>,
     ) -> Result<Reply, ApiError> {
         match operation {
-            ServiceOperation::OpenApi => ok(openapi::document()),
-            ServiceOperation::TermsSchema => ok(terms_schema().clone()),
+            ServiceOperation::OpenApi => json_reply(openapi::document()),
+            ServiceOperation::TermsSchema => json_reply(terms_schema().clone()),
             ServiceOperation::ListTenants => self.list_tenants(call),
             ServiceOperation::CreateTenant => self.create_tenant(call),
             ServiceOperation::Changes => self.read_changes(call),
@@ -68,7 +67,7 @@
         let tenants = self.store.list_tenants(after.as_ref(), rows)?;
         let last_of_full_page = tenants.last().filter(|_| tenants.len() == rows);
         let next = last_of_full_page.map(|tenant| tenant.id.to_string());
-        ok(json!({ "tenants": tenants, "next": next }))
+        json_reply(json!({ "tenants": tenants, "next": next }))
     }
 
     fn create_tenant(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
@@ -79,7 +78,7 @@
                 detail: error.to_string(),
             }])
         })?;
-        // Keys are each caller's own.
+        // The key is prefixed with the caller's name, so that callers can't use each other's keys.
         let key = idempotency_key(call.request)?.map(|key| format!("{} {key}", call.caller.name));
         let request = new.terms.to_string();
         let key = key.as_deref().map(|key| IdempotencyKey {
@@ -98,20 +97,20 @@
             Some(_) => 201,
             None => 200,
         };
-        Ok(tenant_reply(status, &outcome.tenant).with("Location", format!("/tenants/{id}")))
+        Ok(tenant_reply(status, &outcome.tenant).with_field("Location", format!("/tenants/{id}")))
     }
 
     fn read_changes(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
         let after = query_number(call.request, "after", 0)?;
         let changed = self.store.changed_since(after)?;
-        ok(json!({ "number": changed.last_change_number, "tenants": changed.tenants }))
+        json_reply(json!({ "number": changed.last_change_number, "tenants": changed.tenants }))
     }
 
     fn report_usage(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
         let report: UsageReport = content(call.request, "front, number and held are needed")?;
-        let wanted = self.usage.borrow_mut().record(call.now, report);
-        let wanted = wanted.map_err(|TooManyDirectors| ApiError::TooManyDirectors)?;
-        ok(json!({ "sessions_of": wanted }))
+        let requested = self.usage.borrow_mut().record(call.now, report);
+        let requested = requested.map_err(|TooManyDirectors| ApiError::TooManyDirectors)?;
+        json_reply(json!({ "sessions_of": requested }))
     }
 
     fn list_tokens(&self) -> Result<Reply, ApiError> {
@@ -123,10 +122,10 @@
                 json!({ "id": token.id, "role": token.role, "made": token.created_at, "revoked": token.revoked_at })
             })
             .collect();
-        ok(json!({ "tokens": tokens }))
+        json_reply(json!({ "tokens": tokens }))
     }
 
-    /// The only answer that shows a token's text.
+    /// Creates a token. Only this answer contains the token's text.
     fn create_token(&self, call: &Call<'_>) -> Result<Reply, ApiError> {
         let new: NewToken = content(call.request, "role and tenant")?;
         let role = Role::from_name(&new.role, new.tenant).map_err(ApiError::InvalidRole)?;
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,100 +1,105 @@
-//! Content of messages: framings read piece by piece, chunks written.
+//! Message content: incremental decoding of each framing, and encoding of chunks.
 
-use crate::{Bad, Limits};
+use crate::{HttpError, Limits};
 
 /// How a message's content is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     Length(u64),
     Chunked,
-    /// Until the connection closes; responses only.
-    ToClose,
+    /// The content ends when the connection closes; responses only.
+    UntilClose,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Length(u64),
-    /// Before a chunk's size line.
-    Size,
-    Data(u64),
-    /// The CRLF after a chunk's data.
-    DataEnd,
-    /// Trailer lines, so many bytes of them read; dropped.
+    /// Expects a chunk's size line.
+    ChunkSize,
+    ChunkData(u64),
+    /// Expects the CRLF after a chunk's data.
+    ChunkDataEnd,
+    /// Reads and drops trailer fields; holds the number of bytes read so far.
     Trailer(usize),
-    ToClose,
+    UntilClose,
     End,
 }
 
-/// Reads the content of one message from a stream of bytes.
+/// Decodes the content of one message.
 #[derive(Debug)]
-pub struct Body {
+pub struct BodyDecoder {
     state: State,
-    left: usize,
-    trailer: usize,
+    remaining: usize,
+    max_trailer_bytes: usize,
 }
 
-/// What the next bytes are.
+/// A step of decoding.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Piece<'b> {
-    /// More bytes are needed.
-    More,
-    /// So many bytes are used up, of which these are content.
+    /// More input is needed.
+    NeedMore,
+    /// The number of input bytes consumed, and the content bytes among them.
     Data(usize, &'b [u8]),
-    /// The content has ended, after so many bytes more.
+    /// The content is complete, after consuming this number of further input bytes.
     End(usize),
 }
 
-/// A chunk's size line may be so long; extensions are dropped.
-const SIZE_LINE: usize = 128;
+/// Maximum length of a chunk's size line. Chunk extensions are ignored.
+const MAX_SIZE_LINE_BYTES: usize = 128;
 
-impl Body {
-    /// Fails at once where a stated length is over the limit.
-    pub fn new(framing: Framing, limits: &Limits) -> Result<Body, Bad> {
+impl BodyDecoder {
+    /// Creates a decoder. Fails immediately if a `Content-Length` exceeds the limit.
+    pub fn new(framing: Framing, limits: &Limits) -> Result<BodyDecoder, HttpError> {
         if matches!(framing, Framing::Length(n) if n > limits.body as u64) {
-            return Err(Bad::new(413, "content over the limit"));
+            return Err(HttpError::new(413, "content over the limit"));
         }
-        Ok(Body {
-            left: limits.body,
-            trailer: limits.head,
-            ..Body::endless(framing)
+        Ok(BodyDecoder {
+            remaining: limits.body,
+            max_trailer_bytes: limits.head,
+            ..BodyDecoder::unbounded(framing)
         })
     }
 
-    /// Content without a bound, for event streams; each piece is bounded by what is read at once.
-    pub fn endless(framing: Framing) -> Body {
+    /// Creates a decoder without a limit on the content's total size, for event streams. The size of each piece is
+    /// limited by the size of a read.
+    pub fn unbounded(framing: Framing) -> BodyDecoder {
         let state = match framing {
             Framing::Length(n) => State::Length(n),
-            Framing::Chunked => State::Size,
-            Framing::ToClose => State::ToClose,
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         };
-        Body {
+        BodyDecoder {
             state,
-            left: usize::MAX,
-            trailer: 16 * 1024,
+            remaining: usize::MAX,
+            max_trailer_bytes: 16 * 1024,
         }
     }
 
-    /// The connection has closed: whether the content was whole.
-    pub fn closed(&self) -> bool {
-        matches!(self.state, State::ToClose | State::End | State::Length(0))
+    /// Whether the content is complete if the connection closes now.
+    pub fn is_complete_at_close(&self) -> bool {
+        matches!(
+            self.state,
+            State::UntilClose | State::End | State::Length(0)
+        )
     }
 
-    fn data<'b>(&mut self, buf: &'b [u8], most: u64) -> Result<Piece<'b>, Bad> {
-        let n = buf.len().min(usize::try_from(most).unwrap_or(usize::MAX));
-        if n > self.left {
-            return Err(Bad::new(413, "content over the limit"));
+    fn data<'b>(&mut self, buf: &'b [u8], max: u64) -> Result<Piece<'b>, HttpError> {
+        let n = buf.len().min(usize::try_from(max).unwrap_or(usize::MAX));
+        if n > self.remaining {
+            return Err(HttpError::new(413, "content over the limit"));
         }
-        if self.left != usize::MAX {
-            self.left -= n;
+        if self.remaining != usize::MAX {
+            self.remaining -= n;
         }
         Ok(Piece::Data(n, &buf[..n]))
     }
 
-    /// Looks at unread bytes. Call again, behind those used, until it ends or needs more.
-    pub fn next<'b>(&mut self, buf: &'b [u8]) -> Result<Piece<'b>, Bad> {
+    /// Decodes the next piece from unconsumed input. Call it again with the input after the consumed bytes until it
+    /// returns [`Piece::End`] or [`Piece::NeedMore`].
+    pub fn next<'b>(&mut self, buf: &'b [u8]) -> Result<Piece<'b>, HttpError> {
         match self.state {
             State::End | State::Length(0) => Ok(Piece::End(0)),
-            _ if buf.is_empty() => Ok(Piece::More),
+            _ if buf.is_empty() => Ok(Piece::NeedMore),
             State::Length(n) => {
                 let piece = self.data(buf, n)?;
                 if let Piece::Data(used, _) = piece {
@@ -102,86 +107,90 @@
                 }
                 Ok(piece)
             }
-            State::ToClose => self.data(buf, u64::MAX),
-            State::Size => {
-                let Some(end) = buf.iter().take(SIZE_LINE).position(|b| *b == b'\n') else {
-                    let long = buf.len() >= SIZE_LINE;
-                    return if long {
-                        Err(Bad::new(400, "chunk size line too long"))
+            State::UntilClose => self.data(buf, u64::MAX),
+            State::ChunkSize => {
+                let Some(end) = buf
+                    .iter()
+                    .take(MAX_SIZE_LINE_BYTES)
+                    .position(|b| *b == b'\n')
+                else {
+                    let is_too_long = buf.len() >= MAX_SIZE_LINE_BYTES;
+                    return if is_too_long {
+                        Err(HttpError::new(400, "chunk size line too long"))
                     } else {
-                        Ok(Piece::More)
+                        Ok(Piece::NeedMore)
                     };
                 };
                 let line = &buf[..end];
                 let line = line
                     .strip_suffix(b"\r")
-                    .ok_or(Bad::new(400, "a line ends without CR"))?;
+                    .ok_or(HttpError::new(400, "a line ends without CR"))?;
                 let size = line.split(|b| *b == b';').next().unwrap_or_default();
                 if size.is_empty() || !size.iter().all(u8::is_ascii_hexdigit) {
-                    return Err(Bad::new(400, "chunk size is not hex digits"));
+                    return Err(HttpError::new(400, "chunk size is not hex digits"));
                 }
                 if size.len() > 15 {
-                    return Err(Bad::new(413, "chunk size over the limit"));
+                    return Err(HttpError::new(413, "chunk size over the limit"));
                 }
                 let digit = |d: &u8| u64::from((*d as char).to_digit(16).unwrap_or(0));
                 let size = size.iter().fold(0, |n, d| n * 16 + digit(d));
-                if size > self.left as u64 {
-                    return Err(Bad::new(413, "content over the limit"));
+                if size > self.remaining as u64 {
+                    return Err(HttpError::new(413, "content over the limit"));
                 }
                 self.state = if size == 0 {
                     State::Trailer(0)
                 } else {
-                    State::Data(size)
+                    State::ChunkData(size)
                 };
                 Ok(Piece::Data(end + 1, &[]))
             }
-            State::Data(n) => {
+            State::ChunkData(n) => {
                 let piece = self.data(buf, n)?;
                 if let Piece::Data(used, _) = piece {
                     let rest = n - used as u64;
                     self.state = if rest == 0 {
-                        State::DataEnd
+                        State::ChunkDataEnd
                     } else {
-                        State::Data(rest)
+                        State::ChunkData(rest)
                     };
                 }
                 Ok(piece)
             }
-            State::DataEnd => match buf {
+            State::ChunkDataEnd => match buf {
                 [b'\r', b'\n', ..] => {
-                    self.state = State::Size;
+                    self.state = State::ChunkSize;
                     Ok(Piece::Data(2, &[]))
                 }
-                [b'\r'] => Ok(Piece::More),
-                _ => Err(Bad::new(400, "chunk data runs past its size")),
+                [b'\r'] => Ok(Piece::NeedMore),
+                _ => Err(HttpError::new(400, "chunk data runs past its size")),
             },
-            State::Trailer(seen) => {
+            State::Trailer(consumed) => {
                 let Some(end) = buf.iter().position(|b| *b == b'\n') else {
-                    let long = seen + buf.len() > self.trailer;
-                    return if long {
-                        Err(Bad::new(431, "trailer too large"))
+                    let is_too_long = consumed + buf.len() > self.max_trailer_bytes;
+                    return if is_too_long {
+                        Err(HttpError::new(431, "trailer too large"))
                     } else {
-                        Ok(Piece::More)
+                        Ok(Piece::NeedMore)
                     };
                 };
-                if seen + end > self.trailer {
-                    return Err(Bad::new(431, "trailer too large"));
+                if consumed + end > self.max_trailer_bytes {
+                    return Err(HttpError::new(431, "trailer too large"));
                 }
                 if end == 0 || buf[end - 1] != b'\r' {
-                    return Err(Bad::new(400, "a line ends without CR"));
+                    return Err(HttpError::new(400, "a line ends without CR"));
                 }
                 if end == 1 {
                     self.state = State::End;
                     return Ok(Piece::End(2));
                 }
-                self.state = State::Trailer(seen + end + 1);
+                self.state = State::Trailer(consumed + end + 1);
                 Ok(Piece::Data(end + 1, &[]))
             }
         }
     }
 }
 
-/// Writes one chunk; nothing for empty data, which would end the content.
+/// Writes one chunk. Writes nothing for empty data, because an empty chunk would end the content.
 pub fn write_chunk(out: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
@@ -191,5 +200,5 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The end of chunked content.
+/// The last chunk, which ends chunked content.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,7 +1,7 @@
-//! A client connection: one request at a time, and a failure that says whether the request can have run.
+//! A client connection with one request at a time. Its errors tell whether the request may have been executed.
 
-use crate::body::{Body, Piece};
-use crate::head::{Finder, ResponseHead, write_request};
+use crate::body::{BodyDecoder, Piece};
+use crate::head::{HeadParser, ResponseHead, write_request};
 use crate::{Limits, sse};
 use async_io::Timer;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, future};
@@ -10,31 +10,32 @@
 use std::io;
 use std::time::Duration;
 
-/// Why a call has no whole answer.
+/// Why a call has no complete answer.
 #[derive(Debug)]
-pub enum Failure {
-    /// There is no connection, so nothing of it left.
-    NotConnected(Unconnected, String),
-    /// No byte of the request was taken by the stream: it never ran.
-    NeverRan(String),
-    /// At least one byte was: it may have run, whatever else is known.
-    MayHaveRun(String),
+pub enum CallError {
+    /// No connection was established, so nothing of the request was sent.
+    NotConnected(ConnectErrorKind, String),
+    /// The stream accepted no byte of the request, so it was not executed.
+    NotExecuted(String),
+    /// The stream accepted at least one byte, so the request may have been executed.
+    MaybeExecuted(String),
 }
 
-/// What a connection that could not be made says of the other side.
+/// What a failed connection attempt tells about the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unconnected {
-    /// Nobody listens there: the only proof that a process is gone.
+pub enum ConnectErrorKind {
+    /// No process listens on the address. Only this proves that the peer's process has ended.
     Refused,
-    /// This machine is short of something of its own: descriptors, ports, memory. It says nothing of the other side.
-    Own,
-    /// Anything else, as a route that is away: no proof of anything.
+    /// The local machine lacks a resource (descriptors, ports, memory), which says nothing about the peer.
+    LocalShortage,
+    /// Any other error, such as a missing route, which says nothing about the peer.
     Unknown,
 }
 
-impl Unconnected {
-    pub fn of(error: &std::io::Error) -> Unconnected {
-        let own = [
+impl ConnectErrorKind {
+    /// Classifies the error of a connection attempt.
+    pub fn of(error: &std::io::Error) -> ConnectErrorKind {
+        let local_shortages = [
             Errno::MFILE,
             Errno::NFILE,
             Errno::ADDRNOTAVAIL,
@@ -43,42 +44,43 @@
             Errno::AGAIN,
         ];
         match error.raw_os_error().map(Errno::from_raw_os_error) {
-            Some(Errno::CONNREFUSED) => Unconnected::Refused,
-            Some(errno) if own.contains(&errno) => Unconnected::Own,
-            _ => Unconnected::Unknown,
+            Some(Errno::CONNREFUSED) => ConnectErrorKind::Refused,
+            Some(errno) if local_shortages.contains(&errno) => ConnectErrorKind::LocalShortage,
+            _ => ConnectErrorKind::Unknown,
         }
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Response {
     pub head: ResponseHead,
     pub body: Vec<u8>,
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for CallError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (Failure::NotConnected(_, why) | Failure::NeverRan(why) | Failure::MayHaveRun(why)) =
-            self;
+        let (CallError::NotConnected(_, why)
+        | CallError::NotExecuted(why)
+        | CallError::MaybeExecuted(why)) = self;
         write!(f, "{why}")
     }
 }
 
-/// What is sent.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
     pub method: &'a str,
     pub target: &'a str,
     pub host: &'a str,
-    /// Further fields: `Authorization`, say.
+    /// Additional header fields, such as `Authorization`.
     pub fields: &'a [(&'a str, &'a str)],
     /// Content and its media type.
     pub content: Option<(&'a str, &'a [u8])>,
 }
 
 impl<'a> Call<'a> {
-    /// A call without further fields or content.
+    /// Creates a call without additional fields or content.
     pub fn new(method: &'a str, target: &'a str, host: &'a str) -> Call<'a> {
         Call {
             method,
@@ -100,7 +102,7 @@
         }
     }
 
-    fn bytes(&self) -> Vec<u8> {
+    fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(256);
         let length = self
             .content
@@ -116,50 +118,50 @@
     }
 }
 
-/// A connection that carries calls one after the other.
+/// A connection that carries sequential calls.
 pub struct Connection<S> {
     stream: S,
     buf: Vec<u8>,
     limits: Limits,
-    spent: bool,
+    must_close: bool,
 }
 
-/// Gives up on a future after `within`.
-pub async fn in_time<T>(within: Duration, work: impl Future<Output = T>) -> Option<T> {
+/// Runs a future with a timeout. Returns `None` if it does not complete in time.
+pub async fn with_timeout<T>(timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
-        Timer::after(within).await;
+        Timer::after(timeout).await;
         None
     })
     .await
 }
 
-/// So much is read at once.
-const READ: usize = 4 * 1024;
+/// Maximum number of bytes per read.
+const READ_BYTES: usize = 4 * 1024;
 
-/// Reads more into a buffer. 0: the peer has closed.
+/// Reads more bytes into a buffer. Returns 0 if the peer has closed the connection.
 pub(crate) async fn fill<S: AsyncRead + Unpin>(
     stream: &mut S,
     buf: &mut Vec<u8>,
 ) -> io::Result<usize> {
-    // Into the buffer's own end: an array here would be a part of every future that waits for bytes, and be
+    // Reads directly into the buffer: a local array would be part of every future that waits for bytes, and would be
     // moved with it.
-    let before = buf.len();
-    let mut filling = Filling { buf, before };
-    filling.buf.resize(before + READ, 0);
-    let n = stream.read(&mut filling.buf[before..]).await?;
-    filling.before += n;
+    let filled = buf.len();
+    let mut guard = TruncateOnDrop { buf, filled };
+    guard.buf.resize(filled + READ_BYTES, 0);
+    let n = stream.read(&mut guard.buf[filled..]).await?;
+    guard.filled += n;
     Ok(n)
 }
 
-/// Cuts a buffer back to what was read, also when the read is given up.
-struct Filling<'b> {
+/// Truncates the buffer to the bytes that were read, also when the read is cancelled.
+struct TruncateOnDrop<'b> {
     buf: &'b mut Vec<u8>,
-    before: usize,
+    filled: usize,
 }
 
-impl Drop for Filling<'_> {
+impl Drop for TruncateOnDrop<'_> {
     fn drop(&mut self) {
-        self.buf.truncate(self.before);
+        self.buf.truncate(self.filled);
     }
 }
 
@@ -169,18 +171,18 @@
             stream,
             buf: Vec::new(),
             limits,
-            spent: false,
+            must_close: false,
         }
     }
 
-    /// Another call may follow on it.
+    /// Whether the connection may carry another call.
     pub fn reusable(&self) -> bool {
-        !self.spent
+        !self.must_close
     }
 
-    /// The peer has closed it, or has sent what nobody asked for. Such a connection may not carry a paid
-    /// set-up: whether the request was read could not be told any more.
-    pub async fn stale(&mut self) -> bool {
+    /// Whether the peer has closed the connection or sent unsolicited bytes. Such a connection must not carry a
+    /// set-up that is not idempotent, because whether the peer has read the request could not be determined.
+    pub async fn is_closed_by_peer(&mut self) -> bool {
         let mut byte = [0];
         !self.buf.is_empty()
             || future::poll_once(self.stream.read(&mut byte))
@@ -188,94 +190,113 @@
                 .is_some()
     }
 
-    /// Sends a request and waits for the head of its answer.
-    async fn start(&mut self, call: &Call<'_>) -> Result<ResponseHead, Failure> {
-        self.spent = true; // until the answer is whole
-        let bytes = call.bytes();
-        let mut at = 0;
-        let mut broke = None;
-        while at < bytes.len() {
-            match self.stream.write(&bytes[at..]).await {
-                Ok(n) if n > 0 => at += n,
-                result if at == 0 => {
-                    return Err(Failure::NeverRan(format!("nothing written: {result:?}")));
+    /// Sends a request and waits for the response head.
+    async fn send_request(&mut self, call: &Call<'_>) -> Result<ResponseHead, CallError> {
+        self.must_close = true; // until the response is complete
+        let bytes = call.encode();
+        let mut written = 0;
+        let mut write_error = None;
+        while written < bytes.len() {
+            match self.stream.write(&bytes[written..]).await {
+                Ok(n) if n > 0 => written += n,
+                result if written == 0 => {
+                    return Err(CallError::NotExecuted(format!(
+                        "write failed before the first byte: {result:?}"
+                    )));
                 }
                 result => {
-                    // The peer may have answered early and closed: its answer stands.
-                    broke = Some(format!("broke after {at} bytes: {result:?}"));
+                    // The peer may have answered early and closed the connection, so its answer is still read.
+                    write_error = Some(format!("write failed after {written} bytes: {result:?}"));
                     break;
                 }
             }
         }
-        let failed = |what: String| Failure::MayHaveRun(what);
-        let mut finder = Finder::default();
+        let maybe_executed = |what: String| CallError::MaybeExecuted(what);
+        let mut parser = HeadParser::default();
         loop {
-            match finder.response(&self.buf, &self.limits, call.method == "HEAD") {
-                Err(bad) => return Err(failed(format!("the answer is malformed: {bad}"))),
+            match parser.parse_response(&self.buf, &self.limits, call.method == "HEAD") {
+                Err(error) => return Err(maybe_executed(format!("malformed response: {error}"))),
                 Ok(Some((head, used))) => {
                     self.buf.drain(..used);
                     if head.status >= 200 {
                         return Ok(head);
                     }
-                    finder = Finder::default();
+                    parser = HeadParser::default();
                     continue;
                 }
                 Ok(None) => {}
             }
             match fill(&mut self.stream, &mut self.buf).await {
-                Ok(0) => return Err(failed(broke.unwrap_or("closed before the answer".into()))),
+                Ok(0) => {
+                    return Err(maybe_executed(
+                        write_error.unwrap_or("connection closed before the response".into()),
+                    ));
+                }
                 Ok(_) => {}
                 Err(e) => {
-                    return Err(failed(
-                        broke.unwrap_or(format!("broke before the answer: {e}")),
+                    return Err(maybe_executed(
+                        write_error
+                            .unwrap_or(format!("connection failed before the response: {e}")),
                     ));
                 }
             }
         }
     }
 
-    /// Sends a request and takes its whole answer. Waits as long as the caller does: drop it to give up.
-    pub async fn call(&mut self, call: &Call<'_>) -> Result<Response, Failure> {
-        let head = self.start(call).await?;
-        let cut = |what: String| Failure::MayHaveRun(format!("{} cut short: {what}", head.status));
-        let mut body = Body::new(head.framing, &self.limits).map_err(|b| cut(b.to_string()))?;
+    /// Sends a request and reads its complete response, without a timeout. Dropping the future cancels the call.
+    pub async fn call(&mut self, call: &Call<'_>) -> Result<Response, CallError> {
+        let head = self.send_request(call).await?;
+        let incomplete = |what: String| {
+            CallError::MaybeExecuted(format!(
+                "response with status {} is incomplete: {what}",
+                head.status
+            ))
+        };
+        let mut body =
+            BodyDecoder::new(head.framing, &self.limits).map_err(|b| incomplete(b.to_string()))?;
         let mut content = Vec::new();
         loop {
-            match body.next(&self.buf).map_err(|b| cut(b.to_string()))? {
+            match body
+                .next(&self.buf)
+                .map_err(|b| incomplete(b.to_string()))?
+            {
                 Piece::Data(used, data) => {
                     content.extend_from_slice(data);
                     self.buf.drain(..used);
                 }
                 Piece::End(used) => {
                     self.buf.drain(..used);
-                    self.spent = !head.keep;
+                    self.must_close = !head.keep_alive;
                     return Ok(Response {
                         head,
                         body: content,
                     });
                 }
-                Piece::More => match fill(&mut self.stream, &mut self.buf).await {
-                    Ok(0) if body.closed() => {
+                Piece::NeedMore => match fill(&mut self.stream, &mut self.buf).await {
+                    Ok(0) if body.is_complete_at_close() => {
                         return Ok(Response {
                             head,
                             body: content,
                         });
                     }
-                    Ok(0) => return Err(cut("closed".into())),
+                    Ok(0) => return Err(incomplete("connection closed".into())),
                     Ok(_) => {}
-                    Err(e) => return Err(cut(e.to_string())),
+                    Err(e) => return Err(incomplete(e.to_string())),
                 },
             }
         }
     }
 
-    /// Asks for content without an end and hands over the connection for it.
-    pub async fn stream(mut self, call: &Call<'_>) -> Result<(ResponseHead, Incoming<S>), Failure> {
-        let head = self.start(call).await?;
-        let body = Body::endless(head.framing);
+    /// Sends a request for content without an end. Consumes the connection.
+    pub async fn stream(
+        mut self,
+        call: &Call<'_>,
+    ) -> Result<(ResponseHead, BodyStream<S>), CallError> {
+        let head = self.send_request(call).await?;
+        let body = BodyDecoder::unbounded(head.framing);
         Ok((
             head,
-            Incoming {
+            BodyStream {
                 stream: self.stream,
                 buf: self.buf,
                 body,
@@ -284,15 +305,15 @@
     }
 }
 
-/// Content that arrives for as long as the peer sends it.
-pub struct Incoming<S> {
+/// A response body that is read piece by piece.
+pub struct BodyStream<S> {
     stream: S,
     buf: Vec<u8>,
-    body: Body,
+    body: BodyDecoder,
 }
 
-impl<S: AsyncRead + Unpin> Incoming<S> {
-    /// The next bytes; none when the content has ended or broke.
+impl<S: AsyncRead + Unpin> BodyStream<S> {
+    /// The next bytes. Returns `None` if the content has ended or the connection broke.
     pub async fn next(&mut self) -> Option<Vec<u8>> {
         loop {
             match self.body.next(&self.buf).ok()? {
@@ -304,7 +325,7 @@
                     }
                 }
                 Piece::End(_) => return None,
-                Piece::More => {
+                Piece::NeedMore => {
                     if fill(&mut self.stream, &mut self.buf).await.ok()? == 0 {
                         return None;
                     }
@@ -314,28 +335,28 @@
     }
 }
 
-/// Server-sent events over an endless answer.
-pub struct Events<S> {
-    incoming: Incoming<S>,
-    reader: sse::Reader,
+/// Server-sent events from a response body.
+pub struct EventStream<S> {
+    body: BodyStream<S>,
+    decoder: sse::Decoder,
     ready: Vec<sse::Event>,
 }
 
-impl<S: AsyncRead + Unpin> Events<S> {
-    /// `most`: bytes that one event may hold.
-    pub fn new(incoming: Incoming<S>, most: usize) -> Events<S> {
-        Events {
-            incoming,
-            reader: sse::Reader::new(most),
+impl<S: AsyncRead + Unpin> EventStream<S> {
+    /// `most` is the maximum size of one event in bytes.
+    pub fn new(body: BodyStream<S>, max_event_bytes: usize) -> EventStream<S> {
+        EventStream {
+            body,
+            decoder: sse::Decoder::new(max_event_bytes),
             ready: Vec::new(),
         }
     }
 
-    /// The next events, in order; none when the stream has ended, broke, or was silent for so long. Beats
-    /// count as a sign of life and give an empty list.
-    pub async fn next(&mut self, silence: Duration) -> Option<Vec<sse::Event>> {
-        let bytes = in_time(silence, self.incoming.next()).await??;
-        self.reader.feed(&bytes, &mut self.ready).ok()?;
+    /// The next events in order. Returns `None` if the stream has ended or broke, or if no byte arrived for
+    /// `idle_timeout`. A keep-alive returns an empty list.
+    pub async fn next(&mut self, idle_timeout: Duration) -> Option<Vec<sse::Event>> {
+        let bytes = with_timeout(idle_timeout, self.body.next()).await??;
+        self.decoder.feed(&bytes, &mut self.ready).ok()?;
         Some(std::mem::take(&mut self.ready))
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,30 +1,30 @@
-//! A server connection: requests read within limits and time, answered in their order.
+//! A server connection: reads requests within limits and timeouts, and answers them in order.
 
-use crate::body::{Body, LAST_CHUNK, Piece, write_chunk};
-use crate::client::{fill, in_time};
-use crate::head::{Finder, RequestHead, write_response};
-use crate::{Bad, Limits};
+use crate::body::{BodyDecoder, LAST_CHUNK, Piece, write_chunk};
+use crate::client::{fill, with_timeout};
+use crate::head::{HeadParser, RequestHead, write_response};
+use crate::{HttpError, Limits};
 use futures_lite::{AsyncRead, AsyncWrite, AsyncWriteExt, Stream, StreamExt, future};
 use serde_json::{Map, Value};
 use std::future::Future;
 use std::pin::Pin;
 use std::time::Duration;
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
     pub head: RequestHead,
     pub body: Vec<u8>,
 }
 
-/// Content of an answer.
+/// Content of a reply.
 pub enum Content {
-    Whole(Vec<u8>),
-    /// Pieces as they come, chunked; dropped when the peer leaves.
-    Pieces(Pin<Box<dyn Stream<Item = Vec<u8>>>>),
+    Complete(Vec<u8>),
+    /// Sent piece by piece with chunked coding; the stream is dropped when the peer closes the connection.
+    Stream(Pin<Box<dyn Stream<Item = Vec<u8>>>>),
 }
 
-/// An answer.
+/// A response to send.
 pub struct Reply {
     pub status: u16,
     pub fields: Vec<(&'static str, String)>,
@@ -36,85 +36,85 @@
         Reply {
             status,
             fields: Vec::new(),
-            content: Content::Whole(Vec::new()),
+            content: Content::Complete(Vec::new()),
         }
     }
 
     pub fn json(status: u16, text: String) -> Reply {
         Reply::new(status)
-            .with("Content-Type", "application/json")
+            .with_field("Content-Type", "application/json")
             .content(text.into_bytes())
     }
 
-    /// An error as RFC 9457 has it. `detail` is for people.
+    /// Creates a problem document (RFC 9457). `detail` is for people.
     pub fn problem(status: u16, detail: &str) -> Reply {
         Reply::problem_with(status, detail, Map::new())
     }
 
-    /// The same with members of its own (section 3.2).
+    /// Creates a problem document with extension members (RFC 9457, section 3.2).
     pub fn problem_with(status: u16, detail: &str, mut members: Map<String, Value>) -> Reply {
         members.insert("status".into(), status.into());
-        members.insert("title".into(), crate::head::reason(status).into());
+        members.insert("title".into(), crate::head::reason_phrase(status).into());
         members.insert("detail".into(), detail.into());
         let text = Value::Object(members).to_string();
         Reply::new(status)
-            .with("Content-Type", "application/problem+json")
+            .with_field("Content-Type", "application/problem+json")
             .content(text.into_bytes())
     }
 
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Reply {
+    pub fn with_field(mut self, name: &'static str, value: impl Into<String>) -> Reply {
         self.fields.push((name, value.into()));
         self
     }
 
     pub fn content(mut self, bytes: Vec<u8>) -> Reply {
-        self.content = Content::Whole(bytes);
+        self.content = Content::Complete(bytes);
         self
     }
 
-    pub fn pieces(mut self, pieces: impl Stream<Item = Vec<u8>> + 'static) -> Reply {
-        self.content = Content::Pieces(Box::pin(pieces));
+    pub fn stream(mut self, pieces: impl Stream<Item = Vec<u8>> + 'static) -> Reply {
+        self.content = Content::Stream(Box::pin(pieces));
         self
     }
 }
 
 /// How a connection ended.
 #[derive(Debug)]
-pub enum Ended {
-    /// Between two requests.
+pub enum ConnectionEnd {
+    /// Between two requests: the last reply closed the connection, the peer did, or it was idle for too long.
     Idle,
-    /// With a request half read: these bytes of it had come.
-    Cut(Vec<u8>),
-    /// While a request was being answered; its handler was dropped.
-    Left,
-    /// A request was turned down and the connection closed.
-    Refused(Bad),
-    /// The peer took no bytes, or the connection broke while an answer was written.
-    Stuck,
+    /// In the middle of a request; holds the bytes of the head or content received by then.
+    Truncated(Vec<u8>),
+    /// The peer closed the connection while a request was being answered; the handler was dropped.
+    PeerClosed,
+    /// A request was rejected and the connection closed.
+    Rejected(HttpError),
+    /// A write timed out or failed.
+    WriteFailed,
 }
 
-/// What is asked about a connection while it is served.
-pub trait Gate {
-    /// The head of a request has come, of so many bytes; the content may have so many at most. An error is the
-    /// answer, and the connection is closed after it.
-    fn head(&mut self, head: &RequestHead, size: usize) -> Result<usize, Bad>;
+/// Hooks of a connection that is being served.
+pub trait ConnectionHooks {
+    /// Called with a request's head and the head's size in bytes. Returns the maximum size of the content in bytes. An
+    /// error is sent as the answer, and the connection is closed.
+    fn on_request_head(&mut self, head: &RequestHead, size: usize) -> Result<usize, HttpError>;
 
-    /// The request has come whole: it is owed an answer.
-    fn whole(&mut self);
+    /// Called when the request is complete, before it is handled.
+    fn on_request_complete(&mut self);
 
-    /// A request has been answered, and none is under way.
-    fn idle(&mut self);
+    /// Called when a request has been answered and no other one is in progress.
+    fn on_idle(&mut self);
 }
 
-/// Nobody is asked.
-impl Gate for () {
-    fn head(&mut self, _: &RequestHead, _: usize) -> Result<usize, Bad> {
+/// Accepts all requests.
+impl ConnectionHooks for () {
+    fn on_request_head(&mut self, _: &RequestHead, _: usize) -> Result<usize, HttpError> {
         Ok(usize::MAX)
     }
 
-    fn whole(&mut self) {}
+    fn on_request_complete(&mut self) {}
 
-    fn idle(&mut self) {}
+    fn on_idle(&mut self) {}
 }
 
 struct Server<'l, S> {
@@ -123,23 +123,24 @@
     limits: &'l Limits,
 }
 
-/// Serves a connection to its end. The handler's future is dropped when the peer closes before its answer.
-pub async fn serve<S, H, F>(stream: S, limits: &Limits, handle: H) -> Ended
+/// Serves a connection until it ends. The handler's future is dropped if the peer closes the connection before it
+/// completes.
+pub async fn serve<S, H, F>(stream: S, limits: &Limits, handle: H) -> ConnectionEnd
 where
     S: AsyncRead + AsyncWrite + Unpin,
     H: FnMut(Request) -> F,
     F: Future<Output = Reply>,
 {
-    serve_at(stream, limits, &mut (), handle).await
+    serve_with_hooks(stream, limits, &mut (), handle).await
 }
 
-/// The same at a gate that each request's head has to pass.
-pub async fn serve_at<S, H, F>(
+/// Like [`serve`], with hooks that can reject a request by its head.
+pub async fn serve_with_hooks<S, H, F>(
     stream: S,
     limits: &Limits,
-    gate: &mut impl Gate,
+    hooks: &mut impl ConnectionHooks,
     mut handle: H,
-) -> Ended
+) -> ConnectionEnd
 where
     S: AsyncRead + AsyncWrite + Unpin,
     H: FnMut(Request) -> F,
@@ -151,88 +152,96 @@
         limits,
     };
     loop {
-        let request = match server.read(gate).await {
+        let request = match server.read_request(hooks).await {
             Ok(request) => request,
-            Err(Ended::Refused(bad)) => {
-                let reply = Reply::problem(bad.status, bad.what);
-                if server.write(reply, false).await.is_some() {
+            Err(ConnectionEnd::Rejected(error)) => {
+                let reply = Reply::problem(error.status, error.detail);
+                if server.write_reply(reply, false).await.is_some() {
                     server.linger().await;
                 }
-                return Ended::Refused(bad);
+                return ConnectionEnd::Rejected(error);
             }
-            Err(ended) => return ended,
+            Err(end) => return end,
         };
-        gate.whole();
-        let keep = request.head.keep;
-        let Some(reply) = server.answer(handle(request)).await else {
-            return Ended::Left;
+        hooks.on_request_complete();
+        let keep_alive = request.head.keep_alive;
+        let Some(reply) = server.while_connected(handle(request)).await else {
+            return ConnectionEnd::PeerClosed;
         };
-        match server.write(reply, keep).await {
-            Some(true) => gate.idle(),
-            Some(false) => return Ended::Idle,
-            None => return Ended::Stuck,
+        match server.write_reply(reply, keep_alive).await {
+            Some(true) => hooks.on_idle(),
+            Some(false) => return ConnectionEnd::Idle,
+            None => return ConnectionEnd::WriteFailed,
         }
     }
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Server<'_, S> {
-    async fn read(&mut self, gate: &mut impl Gate) -> Result<Request, Ended> {
+    async fn read_request(
+        &mut self,
+        hooks: &mut impl ConnectionHooks,
+    ) -> Result<Request, ConnectionEnd> {
         if self.buf.is_empty() {
-            let first = in_time(self.limits.idle_time, fill(&mut self.stream, &mut self.buf)).await;
+            let first = with_timeout(
+                self.limits.idle_timeout,
+                fill(&mut self.stream, &mut self.buf),
+            )
+            .await;
             if !matches!(first, Some(Ok(n)) if n > 0) {
-                return Err(Ended::Idle);
+                return Err(ConnectionEnd::Idle);
             }
         }
-        let late = |buf: &mut Vec<u8>, what| {
-            // A peer that sent nothing but part of a head is told; its bytes are dropped.
+        let timed_out = |buf: &mut Vec<u8>, what| {
+            // The peer gets an answer; the bytes of its incomplete request are dropped.
             buf.clear();
-            Ended::Refused(Bad::new(408, what))
+            ConnectionEnd::Rejected(HttpError::new(408, what))
         };
         let limits = self.limits;
-        let head = in_time(limits.head_time, self.head()).await;
+        let head = with_timeout(limits.head_timeout, self.read_head()).await;
         let (head, size) =
-            head.unwrap_or_else(|| Err(late(&mut self.buf, "the head took too long")))?;
-        let most = gate
-            .head(&head, size)
-            .map_err(Ended::Refused)?
+            head.unwrap_or_else(|| Err(timed_out(&mut self.buf, "the head took too long")))?;
+        let max_body_bytes = hooks
+            .on_request_head(&head, size)
+            .map_err(ConnectionEnd::Rejected)?
             .min(limits.body);
-        let own = Limits {
-            body: most,
+        let request_limits = Limits {
+            body: max_body_bytes,
             ..limits.clone()
         };
-        let mut body = Body::new(head.framing, &own).map_err(Ended::Refused)?;
+        let mut body =
+            BodyDecoder::new(head.framing, &request_limits).map_err(ConnectionEnd::Rejected)?;
         if head.expects_continue() && self.buf.is_empty() {
-            self.put(b"HTTP/1.1 100 Continue\r\n\r\n", limits.write_time)
+            self.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", limits.write_timeout)
                 .await
-                .ok_or(Ended::Stuck)?;
+                .ok_or(ConnectionEnd::WriteFailed)?;
         }
-        let content = in_time(limits.body_time, self.content(&mut body)).await;
-        let body =
-            content.unwrap_or_else(|| Err(late(&mut self.buf, "the content took too long")))?;
+        let content = with_timeout(limits.body_timeout, self.read_content(&mut body)).await;
+        let body = content
+            .unwrap_or_else(|| Err(timed_out(&mut self.buf, "the content took too long")))?;
         Ok(Request { head, body })
     }
 
-    /// A head and its size in bytes.
-    async fn head(&mut self) -> Result<(RequestHead, usize), Ended> {
-        let mut finder = Finder::default();
+    /// Reads a head. Returns it with its size in bytes.
+    async fn read_head(&mut self) -> Result<(RequestHead, usize), ConnectionEnd> {
+        let mut parser = HeadParser::default();
         loop {
-            if let Some((head, used)) = finder
-                .request(&self.buf, self.limits)
-                .map_err(Ended::Refused)?
+            if let Some((head, used)) = parser
+                .parse_request(&self.buf, self.limits)
+                .map_err(ConnectionEnd::Rejected)?
             {
                 self.buf.drain(..used);
                 return Ok((head, used));
             }
             if !matches!(fill(&mut self.stream, &mut self.buf).await, Ok(n) if n > 0) {
-                return Err(Ended::Cut(std::mem::take(&mut self.buf)));
+                return Err(ConnectionEnd::Truncated(std::mem::take(&mut self.buf)));
             }
         }
     }
 
-    async fn content(&mut self, body: &mut Body) -> Result<Vec<u8>, Ended> {
+    async fn read_content(&mut self, body: &mut BodyDecoder) -> Result<Vec<u8>, ConnectionEnd> {
         let mut content = Vec::new();
         loop {
-            match body.next(&self.buf).map_err(Ended::Refused)? {
+            match body.next(&self.buf).map_err(ConnectionEnd::Rejected)? {
                 Piece::Data(used, data) => {
                     content.extend_from_slice(data);
                     self.buf.drain(..used);
@@ -241,108 +250,112 @@
                     self.buf.drain(..used);
                     return Ok(content);
                 }
-                Piece::More => {
+                Piece::NeedMore => {
                     if !matches!(fill(&mut self.stream, &mut self.buf).await, Ok(n) if n > 0) {
-                        return Err(Ended::Cut(content));
+                        return Err(ConnectionEnd::Truncated(content));
                     }
                 }
             }
         }
     }
 
-    /// Waits for the handler, or a piece, while it watches the peer. None: the peer has left.
-    async fn answer<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
+    /// Runs `work` (the handler, or the next piece) while watching the peer. Returns `None` if the peer closed the
+    /// connection.
+    async fn while_connected<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let Server {
             stream,
             buf,
             limits,
         } = self;
-        let gone = async {
-            // What comes early is the next request, kept up to the limit; past it the peer has to wait.
-            while buf.len() < limits.pipeline {
+        let peer_closed = async {
+            // Early bytes belong to the next request. They are buffered up to the limit; beyond it nothing is read.
+            while buf.len() < limits.read_ahead {
                 if !matches!(fill(stream, buf).await, Ok(n) if n > 0) {
                     return None;
                 }
             }
             future::pending().await
         };
-        future::or(async { Some(work.await) }, gone).await
+        future::or(async { Some(work.await) }, peer_closed).await
     }
 
-    /// Closing over unread bytes would reset the connection and could take the answer with it, so what a
-    /// refused peer still sends is read and dropped, for a short time and up to a bound.
+    /// Reads and drops what a rejected peer still sends, for a limited time and size. Closing a socket with unread
+    /// bytes would reset the connection, and the peer could lose the answer.
     async fn linger(&mut self) {
         let Server {
             stream,
             buf,
             limits,
         } = self;
-        let mut left = limits.body;
+        let mut remaining = limits.body;
         let drain = async {
-            while left > 0 {
+            while remaining > 0 {
                 buf.clear();
                 match fill(stream, buf).await {
-                    Ok(n) if n > 0 => left = left.saturating_sub(n),
+                    Ok(n) if n > 0 => remaining = remaining.saturating_sub(n),
                     _ => return,
                 }
             }
         };
-        in_time(Duration::from_millis(300), drain).await;
+        with_timeout(Duration::from_millis(300), drain).await;
     }
 
-    async fn put(&mut self, bytes: &[u8], within: Duration) -> Option<()> {
-        in_time(within, self.stream.write_all(bytes)).await?.ok()
+    async fn write_all(&mut self, bytes: &[u8], timeout: Duration) -> Option<()> {
+        with_timeout(timeout, self.stream.write_all(bytes))
+            .await?
+            .ok()
     }
 
-    /// Writes an answer. Some(true): another request may follow; None: the peer takes nothing.
-    async fn write(&mut self, reply: Reply, keep: bool) -> Option<bool> {
+    /// Writes a reply. Returns whether another request may follow, or `None` if a write timed out or failed.
+    async fn write_reply(&mut self, reply: Reply, keep_alive: bool) -> Option<bool> {
         let Reply {
             status,
             fields,
             content,
         } = reply;
-        let mut list: Vec<(&str, &str)> = fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
-        let length = if let Content::Whole(bytes) = &content {
+        let mut header_fields: Vec<(&str, &str)> =
+            fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
+        let length = if let Content::Complete(bytes) = &content {
             bytes.len().to_string()
         } else {
             String::new()
         };
         match &content {
-            // A 204 has no content and says nothing of its length (RFC 9110, section 8.6).
-            Content::Whole(_) if status == 204 => {}
-            Content::Whole(_) => list.push(("Content-Length", &length)),
-            Content::Pieces(_) => list.push(("Transfer-Encoding", "chunked")),
+            // A 204 has no content and no Content-Length (RFC 9110, section 8.6).
+            Content::Complete(_) if status == 204 => {}
+            Content::Complete(_) => header_fields.push(("Content-Length", &length)),
+            Content::Stream(_) => header_fields.push(("Transfer-Encoding", "chunked")),
         }
-        if !keep {
-            list.push(("Connection", "close"));
+        if !keep_alive {
+            header_fields.push(("Connection", "close"));
         }
         let mut out = Vec::with_capacity(512);
-        write_response(&mut out, status, &list);
-        let within = self.limits.write_time;
+        write_response(&mut out, status, &header_fields);
+        let timeout = self.limits.write_timeout;
         match content {
-            Content::Whole(bytes) => {
+            Content::Complete(bytes) => {
                 out.extend_from_slice(&bytes);
-                self.put(&out, within).await?;
+                self.write_all(&out, timeout).await?;
             }
-            Content::Pieces(mut pieces) => {
-                self.put(&out, within).await?;
+            Content::Stream(mut pieces) => {
+                self.write_all(&out, timeout).await?;
                 loop {
-                    let next = self.answer(pieces.next()).await?;
+                    let next = self.while_connected(pieces.next()).await?;
                     out.clear();
                     match &next {
                         Some(piece) => write_chunk(&mut out, piece),
                         None => out.extend_from_slice(LAST_CHUNK),
                     }
-                    self.put(&out, within).await?;
+                    self.write_all(&out, timeout).await?;
                     if next.is_none() {
                         break;
                     }
                 }
             }
         }
-        if !keep {
+        if !keep_alive {
             let _ = self.stream.close().await;
         }
-        Some(keep)
+        Some(keep_alive)
     }
 }
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,50 +1,50 @@
-//! Server-sent events (the HTML standard's event stream): lines in, events out.
+//! Server-sent events, the event stream format of the HTML standard.
 
-use crate::Bad;
+use crate::HttpError;
 
-/// One event: its type and its data, lines joined.
+/// One event: its type, and its data lines joined by line feeds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
     pub kind: String,
     pub data: String,
 }
 
-/// Collects lines into events, bounded.
+/// Decodes a stream of bytes into events, with a limit on an event's size.
 #[derive(Debug)]
-pub struct Reader {
+pub struct Decoder {
     line: Vec<u8>,
     event: Event,
-    most: usize,
+    max_event_bytes: usize,
 }
 
-impl Reader {
-    /// `most`: bytes that one event may hold.
-    pub fn new(most: usize) -> Reader {
-        Reader {
+impl Decoder {
+    /// `most` is the maximum size of one event in bytes.
+    pub fn new(max_event_bytes: usize) -> Decoder {
+        Decoder {
             line: Vec::new(),
             event: Event::default(),
-            most,
+            max_event_bytes,
         }
     }
 
-    /// Takes bytes and appends the events that they complete.
-    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), Bad> {
+    /// Decodes more bytes and appends the completed events to `out`.
+    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), HttpError> {
         for part in bytes.split_inclusive(|b| *b == b'\n') {
-            if self.line.len() + self.event.data.len() + part.len() > self.most {
-                return Err(Bad::new(413, "event over the limit"));
+            if self.line.len() + self.event.data.len() + part.len() > self.max_event_bytes {
+                return Err(HttpError::new(413, "event over the limit"));
             }
             self.line.extend_from_slice(part);
             if part.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
-                let text =
-                    std::str::from_utf8(&line).map_err(|_| Bad::new(400, "event is not UTF-8"))?;
-                self.take(text.trim_end_matches(['\n', '\r']), out);
+                let text = std::str::from_utf8(&line)
+                    .map_err(|_| HttpError::new(400, "event is not UTF-8"))?;
+                self.process_line(text.trim_end_matches(['\n', '\r']), out);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, line: &str, out: &mut Vec<Event>) {
+    fn process_line(&mut self, line: &str, out: &mut Vec<Event>) {
         if line.is_empty() {
             let event = std::mem::take(&mut self.event);
             if !event.data.is_empty() || !event.kind.is_empty() {
@@ -62,13 +62,13 @@
                 }
                 self.event.data.push_str(value);
             }
-            _ => {} // comments, and what is not known
+            _ => {} // comments and unknown fields
         }
     }
 }
 
-/// Writes one event. Line ends in the data become further data lines.
-pub fn write(out: &mut Vec<u8>, kind: &str, data: &str) {
+/// Writes one event. Each line of the data becomes a data line.
+pub fn write_event(out: &mut Vec<u8>, kind: &str, data: &str) {
     out.extend_from_slice(format!("event: {kind}\n").as_bytes());
     for line in data.lines() {
         out.extend_from_slice(format!("data: {line}\n").as_bytes());
@@ -76,5 +76,5 @@
     out.push(b'\n');
 }
 
-/// A comment, which keeps a quiet stream from looking dead.
-pub const BEAT: &[u8] = b": beat\n\n";
+/// A comment line, sent as a keep-alive on a stream without events.
+pub const KEEP_ALIVE: &[u8] = b": beat\n\n";
--- a/crates/http/tests/parser.rs
+++ b/crates/http/tests/parser.rs
@@ -1,15 +1,15 @@
-//! The parser against httparse and against its own writer, on random messages and random bytes.
+//! Property tests of the parser, compared with httparse and with this crate's writer.
 
 use proptest::prelude::*;
-use shalewall_http::body::{Body, Framing, LAST_CHUNK, Piece, write_chunk};
-use shalewall_http::head::{Finder, write_request, write_response};
+use shalewall_http::body::{BodyDecoder, Framing, LAST_CHUNK, Piece, write_chunk};
+use shalewall_http::head::{HeadParser, write_request, write_response};
 use shalewall_http::{Limits, sse};
 
 /// Method, target and fields.
-type Theirs = (String, String, Vec<(String, Vec<u8>)>);
+type HttparseRequest = (String, String, Vec<(String, Vec<u8>)>);
 
-/// Fields as an independent parser reads them. None: it wants more, or it refuses.
-fn theirs(bytes: &[u8]) -> Option<Theirs> {
+/// Parses a request with httparse, an independent parser. Returns `None` if it is incomplete or rejected.
+fn parse_with_httparse(bytes: &[u8]) -> Option<HttparseRequest> {
     let mut space = [httparse::EMPTY_HEADER; 64];
     let mut request = httparse::Request::new(&mut space);
     match request.parse(bytes) {
@@ -29,11 +29,14 @@
     }
 }
 
-fn whole(mut body: Body, mut bytes: &[u8]) -> Result<Option<Vec<u8>>, shalewall_http::Bad> {
+fn decode_body(
+    mut body: BodyDecoder,
+    mut bytes: &[u8],
+) -> Result<Option<Vec<u8>>, shalewall_http::HttpError> {
     let mut content = Vec::new();
     loop {
         match body.next(bytes)? {
-            Piece::More => return Ok(None),
+            Piece::NeedMore => return Ok(None),
             Piece::End(_) => return Ok(Some(content)),
             Piece::Data(used, data) => {
                 content.extend_from_slice(data);
@@ -47,7 +50,7 @@
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_is_read(
+    fn written_requests_are_parsed(
         method in "[A-Z]{1,8}", target in "/[a-z0-9/?=&%.-]{0,60}",
         fields in prop::collection::vec(("X-[A-Za-z0-9]{1,12}", "[ -~]{0,40}"), 0..20),
     ) {
@@ -55,37 +58,37 @@
         let mut list = vec![("Host", "a")];
         list.extend(fields.iter().map(|(n, v)| (n.as_str(), v.as_str())));
         write_request(&mut out, &method, &target, &list);
-        let (head, used) = Finder::default().request(&out, &Limits::default()).unwrap().unwrap();
+        let (head, used) = HeadParser::default().parse_request(&out, &Limits::default()).unwrap().unwrap();
         prop_assert_eq!(used, out.len());
         prop_assert_eq!((&head.method, &head.target), (&method, &target));
         prop_assert_eq!(head.fields.len(), list.len());
-        let theirs = theirs(&out).unwrap();
-        prop_assert_eq!(&theirs.0, &method);
-        for (name, value) in &theirs.2 {
+        let expected = parse_with_httparse(&out).unwrap();
+        prop_assert_eq!(&expected.0, &method);
+        for (name, value) in &expected.2 {
             let value = value.trim_ascii();
             prop_assert!(head.fields.all(name).any(|v| v == value), "{} {:?}", name, value);
         }
-        // However it is split, it is read once and the same.
-        let mut finder = Finder::default();
+        // Incremental parsing completes only with the last byte.
+        let mut parser = HeadParser::default();
         for at in 0..out.len() {
-            prop_assert!(finder.request(&out[..at], &Limits::default()).unwrap().is_none());
+            prop_assert!(parser.parse_request(&out[..at], &Limits::default()).unwrap().is_none());
         }
-        prop_assert!(finder.request(&out, &Limits::default()).unwrap().is_some());
+        prop_assert!(parser.parse_request(&out, &Limits::default()).unwrap().is_some());
     }
 
     #[test]
-    fn what_is_accepted_the_other_parser_accepts_alike(
+    fn accepted_requests_are_accepted_by_httparse(
         bytes in prop::collection::vec(prop::sample::select(
             &b"GET / HTTP/1.1\r\n: Hosta,chunked0\0\t\x7f\x80"[..]), 0..80),
     ) {
         let mut message = b"GET / HTTP/1.1\r\nHost: a\r\n".to_vec();
         message.extend_from_slice(&bytes);
         message.extend_from_slice(b"\r\n\r\n");
-        if let Ok(Some((head, used))) = Finder::default().request(&message, &Limits::default()) {
-            let theirs = theirs(&message);
-            prop_assert!(theirs.is_some(), "accepted here only: {:?}", String::from_utf8_lossy(&message));
-            let theirs = theirs.unwrap();
-            prop_assert_eq!(theirs.2.len(), head.fields.len());
+        if let Ok(Some((head, used))) = HeadParser::default().parse_request(&message, &Limits::default()) {
+            let expected = parse_with_httparse(&message);
+            prop_assert!(expected.is_some(), "accepted by this parser only: {:?}", String::from_utf8_lossy(&message));
+            let expected = expected.unwrap();
+            prop_assert_eq!(expected.2.len(), head.fields.len());
             prop_assert!(used <= message.len());
         }
     }
@@ -93,55 +96,55 @@
     #[test]
     fn random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let limits = Limits { head: 200, ..Limits::default() };
-        let _ = Finder::default().request(&bytes, &limits);
-        let _ = Finder::default().response(&bytes, &limits, false);
-        let _ = whole(Body::new(Framing::Chunked, &limits).unwrap(), &bytes);
-        let _ = sse::Reader::new(100).feed(&bytes, &mut Vec::new());
+        let _ = HeadParser::default().parse_request(&bytes, &limits);
+        let _ = HeadParser::default().parse_response(&bytes, &limits, false);
+        let _ = decode_body(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &bytes);
+        let _ = sse::Decoder::new(100).feed(&bytes, &mut Vec::new());
     }
 
     #[test]
-    fn chunks_come_back_whole(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..50), 0..8)) {
+    fn chunks_round_trip(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..50), 0..8)) {
         let mut out = Vec::new();
         parts.iter().for_each(|p| write_chunk(&mut out, p));
         out.extend_from_slice(LAST_CHUNK);
         let limits = Limits::default();
-        let content = whole(Body::new(Framing::Chunked, &limits).unwrap(), &out).unwrap();
+        let content = decode_body(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &out).unwrap();
         prop_assert_eq!(content, Some(parts.concat()));
         for at in 0..out.len() {
-            prop_assert_eq!(whole(Body::new(Framing::Chunked, &limits).unwrap(), &out[..at]).unwrap(), None);
+            prop_assert_eq!(decode_body(BodyDecoder::new(Framing::Chunked, &limits).unwrap(), &out[..at]).unwrap(), None);
         }
     }
 
     #[test]
-    fn events_come_back_however_they_are_split(
+    fn events_round_trip_in_any_split(
         events in prop::collection::vec(("[a-z]{1,8}", "[ -9;-~]{1,40}"), 1..6), size in 1..20usize,
     ) {
         let mut out = Vec::new();
         for (kind, data) in &events {
-            sse::write(&mut out, kind, data);
-            out.extend_from_slice(sse::BEAT);
+            sse::write_event(&mut out, kind, data);
+            out.extend_from_slice(sse::KEEP_ALIVE);
         }
-        let (mut reader, mut got) = (sse::Reader::new(1000), Vec::new());
-        out.chunks(size).for_each(|part| reader.feed(part, &mut got).unwrap());
-        let got: Vec<_> = got.into_iter().map(|e| (e.kind, e.data)).collect();
-        prop_assert_eq!(got, events);
+        let (mut decoder, mut decoded) = (sse::Decoder::new(1000), Vec::new());
+        out.chunks(size).for_each(|part| decoder.feed(part, &mut decoded).unwrap());
+        let decoded: Vec<_> = decoded.into_iter().map(|e| (e.kind, e.data)).collect();
+        prop_assert_eq!(decoded, events);
     }
 }
 
 #[test]
-fn responses_are_framed_by_their_status() {
+fn response_framing_depends_on_status_and_fields() {
     let read = |text: &str, bodiless| {
-        Finder::default().response(text.as_bytes(), &Limits::default(), bodiless)
+        HeadParser::default().parse_response(text.as_bytes(), &Limits::default(), bodiless)
     };
     let head = |text: &str| read(text, false).unwrap().unwrap().0;
     assert_eq!(
         head("HTTP/1.1 204 No Content\r\n\r\n").framing,
         Framing::Length(0)
     );
-    assert_eq!(head("HTTP/1.1 200 OK\r\n\r\n").framing, Framing::ToClose);
-    assert!(!head("HTTP/1.1 200 OK\r\n\r\n").keep);
-    assert!(head("HTTP/1.1 200\r\nContent-Length: 4\r\n\r\n").keep);
-    assert!(!head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: Close\r\n\r\n").keep);
+    assert_eq!(head("HTTP/1.1 200 OK\r\n\r\n").framing, Framing::UntilClose);
+    assert!(!head("HTTP/1.1 200 OK\r\n\r\n").keep_alive);
+    assert!(head("HTTP/1.1 200\r\nContent-Length: 4\r\n\r\n").keep_alive);
+    assert!(!head("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: Close\r\n\r\n").keep_alive);
     for bad in [
         "HTTP/1.1 20 OK\r\n\r\n",
         "HTTP/2 200 OK\r\n\r\n",
@@ -158,6 +161,6 @@
     assert_eq!(
         head.fields.len(),
         1,
-        "a value can't bring a field of its own"
+        "a line end in a value must not inject a field"
     );
 }
--- a/crates/server/src/node/calls.rs
+++ b/crates/server/src/node/calls.rs
@@ -1,25 +1,25 @@
-//! Calls to a node: the engine's call as an HTTP request, and the response as the engine's result.
+//! Sends the engine's calls to a node as HTTP requests and converts the responses to the engine's results.
 
 use super::NodeConnections;
 use crate::director::Director;
 use serde_json::{Value, json};
 use shalewall::{LoadReport, ServerId, SessionId};
 use shalewall_engine::{CallKind, CallResult};
-use shalewall_http::client::{Call, Failure, Response, Unconnected};
+use shalewall_http::client::{Call, CallError, ConnectErrorKind, Response};
 use shalewall_http::head::Fields;
 use shalewall_migration::ticket::{TicketKey, Validity};
 
-/// A ticket is good for so long: clocks of directors and nodes may differ by less.
+/// Lifetime of a migration ticket. It must exceed the clock skew between directors and nodes.
 const TICKET_LIFETIME_MS: u64 = 5_000;
 
-/// Carries out one call. Waits as long as it is let; dropped, it closes its connection.
+/// Executes one call, without a timeout. Dropping the future closes the connection.
 pub async fn call(
     connections: &NodeConnections,
     director: &Director,
     kind: &CallKind,
 ) -> CallResult {
-    let Some(request) = NodeRequest::of(kind, director, connections.server) else {
-        return CallResult::NotStarted("this front has no key for tickets".into());
+    let Some(request) = NodeRequest::from_call(kind, director, connections.server) else {
+        return CallResult::NotStarted("the director has no ticket key".into());
     };
     let body = request.body.as_ref().map(Value::to_string);
     let content = body
@@ -30,16 +30,18 @@
         ..Call::new(request.method, &request.target, &connections.host)
     };
     match connections.pool.call(&call).await {
-        Ok(response) => answered(&response),
-        Err(Failure::NotConnected(Unconnected::Own, reason)) => CallResult::NotSent(reason),
-        Err(Failure::NotConnected(_, reason) | Failure::NeverRan(reason)) => {
+        Ok(response) => decode_response(&response),
+        Err(CallError::NotConnected(ConnectErrorKind::LocalShortage, reason)) => {
+            CallResult::NotSent(reason)
+        }
+        Err(CallError::NotConnected(_, reason) | CallError::NotExecuted(reason)) => {
             CallResult::NotStarted(reason)
         }
-        Err(Failure::MayHaveRun(reason)) => CallResult::MaybeExecuted(reason),
+        Err(CallError::MaybeExecuted(reason)) => CallResult::MaybeExecuted(reason),
     }
 }
 
-/// A call as the protocol with nodes has it.
+/// A call in the form of the node protocol.
 struct NodeRequest {
     method: &'static str,
     target: String,
@@ -47,8 +49,8 @@
 }
 
 impl NodeRequest {
-    /// None where the call needs a ticket and the director has no key for one.
-    fn of(kind: &CallKind, director: &Director, server: ServerId) -> Option<NodeRequest> {
+    /// Returns `None` if the call needs a ticket and the director has no ticket key.
+    fn from_call(kind: &CallKind, director: &Director, server: ServerId) -> Option<NodeRequest> {
         Some(match kind {
             CallKind::SetUpSession {
                 session,
@@ -159,7 +161,7 @@
     format!("/moves/{}/{attempt}", session.0)
 }
 
-fn answered(response: &Response) -> CallResult {
+fn decode_response(response: &Response) -> CallResult {
     let fields = &response.head.fields;
     let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
     CallResult::Answered {
@@ -170,7 +172,7 @@
     }
 }
 
-/// `streams=7, link=0.4, uplink=1.2`; what is missing or no number is left out.
+/// Parses a load report such as `streams=7, link=0.4, uplink=1.2`. Missing and invalid values are left out.
 fn load_report(fields: &Fields) -> LoadReport {
     let mut report = LoadReport::default();
     let text = fields.get("shalewall-load").unwrap_or_default();
--- a/crates/server/src/node/events.rs
+++ b/crates/server/src/node/events.rs
@@ -1,4 +1,4 @@
-//! A node's event stream: kept open, and what it tells decoded for the engine.
+//! Keeps a node's event stream open and decodes its events for the engine.
 
 use super::NodeConnections;
 use crate::director::Director;
@@ -7,31 +7,31 @@
 use serde_json::Value;
 use shalewall::{ServerId, SessionId, Timestamp};
 use shalewall_engine::{Input, NodeEvent, SessionAttempt, TransferredSession};
-use shalewall_http::client::{Call, Events, Failure, Unconnected, in_time};
+use shalewall_http::client::{Call, CallError, ConnectErrorKind, EventStream, with_timeout};
 use shalewall_migration::Epoch;
 use shalewall_migration::node::SessionEpochs;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// First pause between attempts at an event stream; each one doubles it.
+/// Delay before the first retry of an event stream; it doubles with each failed attempt.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
-/// Longest pause between attempts.
+/// Maximum delay between attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// One event holds at most so many bytes: a snapshot of all sessions of a node.
+/// Maximum size of one event, enough for a snapshot of all sessions of a node.
 const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 /// How an attempt at an event stream ended.
 enum StreamEnd {
-    /// It was open for a while.
+    /// It was open and ended.
     Closed,
-    /// The connection was refused: the node's process is gone.
+    /// The connection was refused, which means that the node's process has ended.
     Refused,
-    /// It never opened, or what came on it was not understood.
+    /// It could not be opened, or its snapshot could not be decoded.
     Failed,
 }
 
-/// Keeps a node's event stream open and passes on what it tells.
+/// Keeps a node's event stream open and passes its events to the engine.
 pub async fn watch(
     connections: Rc<NodeConnections>,
     director: Rc<Director>,
@@ -61,11 +61,14 @@
     let server = connections.server;
     let timeout = director.stream_timeout;
     let requested_at = shalewall_clock::now();
-    let connection = match in_time(timeout, connections.pool.connect()).await {
+    let connection = match with_timeout(timeout, connections.pool.connect()).await {
         None => return StreamEnd::Failed,
         Some(Ok(connection)) => connection,
-        // Only this is proof. Out of descriptors, or without a route, a director knows nothing of its nodes.
-        Some(Err(Failure::NotConnected(Unconnected::Refused, _))) => return StreamEnd::Refused,
+        // Only a refused connection proves that the process has ended. A lack of descriptors or of a route says nothing
+        // about the node.
+        Some(Err(CallError::NotConnected(ConnectErrorKind::Refused, _))) => {
+            return StreamEnd::Refused;
+        }
         Some(Err(error)) => {
             debug!(server = server.0, %error, "node event stream not connected");
             return StreamEnd::Failed;
@@ -73,7 +76,7 @@
     };
     let target = format!("/events?director={}", director.number);
     let call = Call::new("GET", &target, &connections.host);
-    let Some(Ok((head, incoming))) = in_time(timeout, connection.stream(&call)).await else {
+    let Some(Ok((head, incoming))) = with_timeout(timeout, connection.stream(&call)).await else {
         return StreamEnd::Failed;
     };
     if head.status != 200 {
@@ -81,12 +84,12 @@
         warn!(server = server.0, status, "node event stream refused");
         return StreamEnd::Failed;
     }
-    let mut events = Events::new(incoming, MAX_EVENT_BYTES);
+    let mut events = EventStream::new(incoming, MAX_EVENT_BYTES);
     while let Some(batch) = events.next(timeout).await {
         for event in batch {
             if event.kind != "held" {
-                pass_on_event(server, &event.kind, &event.data, sink);
-            } else if !pass_on_snapshot(server, requested_at, &event.data, sink) {
+                forward_event(server, &event.kind, &event.data, sink);
+            } else if !forward_snapshot(server, requested_at, &event.data, sink) {
                 return StreamEnd::Failed;
             }
         }
@@ -94,15 +97,15 @@
     StreamEnd::Closed
 }
 
-fn pass_on_event(server: ServerId, kind: &str, data: &str, sink: &impl Fn(Input)) {
+fn forward_event(server: ServerId, kind: &str, data: &str, sink: &impl Fn(Input)) {
     match decode_event(kind, data) {
         Some(event) => sink(Input::NodeNotified { server, event }),
         None => warn!(server = server.0, kind, "node event not decoded"),
     }
 }
 
-/// False where the snapshot is not understood.
-fn pass_on_snapshot(
+/// Returns `false` if the snapshot can't be decoded.
+fn forward_snapshot(
     server: ServerId,
     requested_at: Timestamp,
     data: &str,
@@ -123,7 +126,7 @@
     true
 }
 
-/// A session as a node's snapshot tells of it.
+/// A session in a node's snapshot.
 #[derive(Deserialize)]
 struct SnapshotEntry {
     session: u64,
@@ -165,7 +168,7 @@
     let data: Value = serde_json::from_str(data).ok()?;
     let session = SessionId(data["session"].as_u64()?);
     let number = |name: &str| u32::try_from(data[name].as_u64()?).ok();
-    let part = |name: &str| data[name].as_f64().filter(|part| *part >= 0.0);
+    let fraction = |name: &str| data[name].as_f64().filter(|fraction| *fraction >= 0.0);
     Some(match kind {
         "ended" => NodeEvent::SessionEnded {
             session,
@@ -176,11 +179,11 @@
             attempt: number("attempt")?,
             epoch: Epoch(number("epoch")?),
         },
-        "figures" => NodeEvent::LoadNotified {
+        "figures" => NodeEvent::LoadReported {
             session,
-            delivered_fraction: part("delivered"),
-            link_utilization: part("link"),
-            uplink_utilization: part("uplink"),
+            delivered_fraction: fraction("delivered"),
+            link_utilization: fraction("link"),
+            uplink_utilization: fraction("uplink"),
         },
         _ => return None,
     })
--- a/crates/server/src/player_events.rs
+++ b/crates/server/src/player_events.rs
@@ -1,7 +1,7 @@
-//! Players that can be offered another node: their event streams and what they report, as `docs/protocol.md` has it.
+//! Event streams and reports of players that support migration. `docs/protocol.md` specifies them.
 
 use crate::event_loop::EventLoop;
-use crate::offers::{PlayerEvent, StreamId};
+use crate::player_streams::{PlayerEvent, StreamId};
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::{StreamExt, future, stream};
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A stream without events carries a keep-alive this often.
+/// Interval of keep-alives on a stream without events.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Held by a stream. When it goes, its player can't be offered another node any more, unless it has opened another
-/// stream.
+/// An open event stream. Dropping it reports to the engine that the player can no longer receive migration offers,
+/// unless the player has opened another stream.
 struct OpenStream {
     event_loop: Rc<EventLoop>,
     session: SessionId,
@@ -30,7 +30,7 @@
     fn drop(&mut self) {
         let session = self.session;
         if self.event_loop.player_streams.close(session, self.id) {
-            self.event_loop.handle(Input::PlayerFollowing {
+            self.event_loop.handle(Input::PlayerSubscription {
                 session,
                 playing_epoch: None,
             });
@@ -39,16 +39,16 @@
 }
 
 impl OpenStream {
-    /// The next event, or a keep-alive where none comes; nothing once the session is over.
+    /// The next event, or a keep-alive if none arrives within the interval. Returns `None` once the session has ended.
     async fn next_bytes(&self) -> Option<Vec<u8>> {
         let keep_alive = async {
             Timer::after(KEEP_ALIVE_INTERVAL).await;
-            Some(sse::BEAT.to_vec())
+            Some(sse::KEEP_ALIVE.to_vec())
         };
         let event = async {
             let event = self.events.recv().await.ok()?;
             let mut bytes = Vec::new();
-            sse::write(&mut bytes, event.kind, &event.data);
+            sse::write_event(&mut bytes, event.kind, &event.data);
             Some(bytes)
         };
         future::or(event, keep_alive).await
@@ -72,7 +72,7 @@
         id,
         events,
     };
-    event_loop.handle(Input::PlayerFollowing {
+    event_loop.handle(Input::PlayerSubscription {
         session,
         playing_epoch: Some(playing_epoch),
     });
@@ -80,10 +80,10 @@
         let bytes = open_stream.next_bytes().await?;
         Some((bytes, open_stream))
     });
-    let pieces = stream::once(sse::BEAT.to_vec()).chain(events);
+    let pieces = stream::once(sse::KEEP_ALIVE.to_vec()).chain(events);
     Reply::new(200)
-        .with("Content-Type", "text/event-stream")
-        .pieces(pieces)
+        .with_field("Content-Type", "text/event-stream")
+        .stream(pieces)
 }
 
 /// The content of `playing` and `declined`.
@@ -93,7 +93,7 @@
 }
 
 impl EpochReport {
-    fn read(request: &Request) -> Result<Epoch, serde_json::Error> {
+    fn decode(request: &Request) -> Result<Epoch, serde_json::Error> {
         let report: EpochReport = serde_json::from_slice(&request.body)?;
         Ok(Epoch(report.epoch))
     }
@@ -105,19 +105,21 @@
     buffer_ms: u32,
 }
 
-/// `POST /sessions/{session}/{report}`. None: there is no such report.
-pub fn take_report(
+/// Handles `POST /sessions/{session}/{report}`. Returns `None` if there is no such report.
+pub fn handle_report(
     event_loop: &Rc<EventLoop>,
     session: SessionId,
     report: &str,
     request: &Request,
 ) -> Option<Reply> {
     let input = match report {
-        "playing" => EpochReport::read(request).map(|epoch| Input::EpochPlaying { session, epoch }),
+        "playing" => {
+            EpochReport::decode(request).map(|epoch| Input::EpochPlaying { session, epoch })
+        }
         "declined" => {
-            EpochReport::read(request).map(|epoch| Input::EpochDeclined { session, epoch })
+            EpochReport::decode(request).map(|epoch| Input::EpochDeclined { session, epoch })
         }
-        "silent" => silence(session, request),
+        "silent" => decode_silence_report(session, request),
         _ => return None,
     };
     Some(match input {
@@ -129,7 +131,10 @@
     })
 }
 
-fn silence(session: SessionId, request: &Request) -> Result<Input, serde_json::Error> {
+fn decode_silence_report(
+    session: SessionId,
+    request: &Request,
+) -> Result<Input, serde_json::Error> {
     let report: SilenceReport = serde_json::from_slice(&request.body)?;
     let buffered = TimeDelta::from_millis(report.buffer_ms.into());
     Ok(Input::StreamSilent { session, buffered })
--- a/crates/settings/src/day/violations.rs
+++ b/crates/settings/src/day/violations.rs
@@ -4,7 +4,7 @@
 use crate::SettingsFile;
 use crate::rule::{Rule, Violation, joined};
 
-/// The shortest session that a class may have, seconds.
+/// Smallest allowed value for the shortest session of a class, in seconds.
 const SHORTEST_SESSION_S: f64 = 0.1;
 
 impl SettingsFile for DayPlan {
@@ -12,7 +12,7 @@
         let mut violations = self.site.violations();
         self.check_load(&mut violations);
         self.check_hosted(&mut violations);
-        self.check_load_by_name(&mut violations);
+        self.check_load_references(&mut violations);
         for (name, machine) in &self.fleet.machines {
             self.check_machine(name, machine, &mut violations);
         }
@@ -53,8 +53,8 @@
         }
     }
 
-    /// What the load says of tenants and classes by their names.
-    fn check_load_by_name(&self, violations: &mut Vec<Violation>) {
+    /// Checks the load's references to tenants and classes.
+    fn check_load_references(&self, violations: &mut Vec<Violation>) {
         for (name, rate) in &self.load.tenant_rates {
             if !self.site.tenants.contains_key(name) || !rate.is_finite() || *rate <= 0.0 {
                 let path = format!("load.tenants.{name}");
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The names that a kind of fault may meet; none where it meets nothing by name.
+    /// The names that a kind of fault may have as target; `None` if it has no named target.
     fn targets(&self, kind: FaultKind) -> Option<Vec<&String>> {
         match kind {
             FaultKind::ZoneLoss => Some(self.site.zones.iter().collect()),
--- a/crates/settings/src/site/module_settings.rs
+++ b/crates/settings/src/site/module_settings.rs
@@ -1,11 +1,11 @@
-//! A site as the decision module and the engine are told of it.
+//! Converts a site's settings to those of the decision module and the engine.
 
 use super::Site;
 use super::capacity::Title;
 use super::policy::RetryBudget;
 use super::traffic::{Class, Tenant};
-use crate::moves::Moves;
-use crate::server::Front;
+use crate::migration::MigrationSettings;
+use crate::server::DirectorSettings;
 use crate::units::from_millis;
 use shalewall::{
     ClassSettings, Idempotency, RuleSettings, Rung, Settings, TenantSettings, TimeDelta,
@@ -13,7 +13,7 @@
 use shalewall_engine::{Config, NamedClass, TitlePlacement};
 
 impl Site {
-    /// Classes in the order of the module's indices, with how long their viewers wait.
+    /// Classes in the order of the module's indices, with the longest wait of their viewers.
     pub fn classes(&self) -> Vec<NamedClass> {
         let classes = self.classes.iter();
         classes
@@ -24,35 +24,35 @@
             .collect()
     }
 
-    /// What the engine of one director is told. `incarnation` distinguishes this start of the director from others.
-    pub fn config(&self, front: &Front, incarnation: u16) -> Config {
+    /// The engine's configuration for one director. `incarnation` distinguishes this start of the director from others.
+    pub fn config(&self, director: &DirectorSettings, incarnation: u16) -> Config {
         let titles = self.titles.iter();
         Config {
-            seed: front.seed,
-            settings: self.settings(front),
+            seed: director.seed,
+            settings: self.settings(director),
             classes: self.classes(),
             tenants: self.tenants.keys().cloned().collect(),
             zones: self.zones.clone(),
             machine_kinds: self.kinds.keys().cloned().collect(),
             titles: titles
-                .map(|(name, title)| (name.clone(), title.place()))
+                .map(|(name, title)| (name.clone(), title.placement()))
                 .collect(),
-            max_sessions: front.max_sessions,
+            max_sessions: director.max_sessions,
             incarnation,
-            migration: self.moves.as_ref().map(Moves::policy),
+            migration: self.moves.as_ref().map(MigrationSettings::policy),
         }
     }
 
-    /// What the module of one director is told.
-    pub fn settings(&self, front: &Front) -> Settings {
+    /// The decision module's settings for one director.
+    pub fn settings(&self, director: &DirectorSettings) -> Settings {
         let highest_rung = self.ladder.len().saturating_sub(1);
         let classes = self.classes.values();
         let all_shares: f64 = self.tenants.values().map(|tenant| tenant.share).sum();
         let tenants = self.tenants.values();
         Settings {
-            director_index: front.number,
-            director_count: front.director_count,
-            zone: self.zone_index(front),
+            director_index: director.number,
+            director_count: director.director_count,
+            zone: self.zone_index(director),
             classes: classes.map(|class| class.settings(highest_rung)).collect(),
             tenants: tenants.map(|tenant| tenant.settings(all_shares)).collect(),
             ladder: self.rungs(),
@@ -80,8 +80,8 @@
         }
     }
 
-    fn zone_index(&self, front: &Front) -> Option<usize> {
-        let zone = front.zone.as_ref()?;
+    fn zone_index(&self, director: &DirectorSettings) -> Option<usize> {
+        let zone = director.zone.as_ref()?;
         self.zones.iter().position(|name| name == zone)
     }
 
@@ -119,7 +119,7 @@
 }
 
 impl Class {
-    /// As the module is told; `highest_rung`: that of the ladder.
+    /// Converts the class; `highest_rung` is that of the ladder.
     fn settings(&self, highest_rung: usize) -> ClassSettings {
         let idempotency = if self.paid {
             Idempotency::AtMostOnce
@@ -140,7 +140,7 @@
 }
 
 impl Tenant {
-    /// As the module is told; `all_shares`: the sum over the site's tenants.
+    /// Converts the tenant; `all_shares` is the sum of the shares of the site's tenants.
     fn settings(&self, all_shares: f64) -> TenantSettings {
         let fleet_quota = if all_shares > 0.0 {
             self.share / all_shares
@@ -165,7 +165,7 @@
 }
 
 impl Title {
-    fn place(&self) -> TitlePlacement {
+    fn placement(&self) -> TitlePlacement {
         TitlePlacement {
             first_cell: self.first_cell,
             replica_cells: self.replica_cells,
--- a/crates/test-harness/src/day.rs
+++ b/crates/test-harness/src/day.rs
@@ -1,11 +1,11 @@
-//! A day: directors, nodes, journal service and viewers, and what happens to them when.
+//! A scripted day: directors, nodes, journal service and viewers, with events at given times.
 
 use crate::director::Director;
-use crate::journal::{Journal, Line};
-use crate::lies::{Liar, Lie};
-use crate::node::{Mood, Node};
+use crate::faulty_director::{DirectorFault, FaultyDirector};
+use crate::journal::{HostEntry, Journal};
+use crate::node::{Node, NodeBehavior};
 use crate::now;
-use crate::tape::{Tape, rules};
+use crate::recorder::{Recorder, rules};
 use crate::viewer::Viewers;
 use shalewall_audit::Verdict;
 use std::io::{self, Write};
@@ -16,84 +16,100 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// After the last request answers, ends and releases come for so long.
-const SETTLE: Duration = Duration::from_millis(2_500);
-/// A director told to end goes by itself within this: the longest wait, and what the program adds.
-const LEAVES: Duration = Duration::from_secs(4);
+/// Time after the last request for responses, session ends and releases to arrive.
+const SETTLE_TIME: Duration = Duration::from_millis(2_500);
+/// Time within which a director exits after SIGTERM: the longest request timeout, plus the program's own delay.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Something that happens.
+/// An event of a day. Nodes and directors are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// A node drains, or is gone from the list; its process goes on.
-    Drain(usize),
-    Gone(usize),
-    /// A node's process dies, and starts again: the list tells of it.
-    Die(usize),
-    Back(usize),
-    Turn(usize, Mood),
-    /// A director is killed, told to end, started.
-    Kill(usize),
-    Leave(usize),
-    Start(usize),
-    /// The journal service breaks off, and is back.
-    JournalAway(bool),
-    /// Its open connections fall silent and stay open.
-    JournalHush,
-    /// Clients that send what is no message, to every director.
-    Noise,
-    /// A wrong director's node from now on.
-    Favour(usize),
+pub enum DayEvent {
+    /// Lists a node as draining; its process keeps running.
+    DrainNode(usize),
+    /// Lists a node as gone; its process keeps running.
+    RemoveNode(usize),
+    /// Kills a node's process without a change of the list.
+    KillNode(usize),
+    /// Starts a node's process again, and publishes its start time in the list.
+    RestartNode(usize),
+    /// Changes the behavior of a node.
+    SetNodeBehavior(usize, NodeBehavior),
+    /// Sends SIGKILL to a director.
+    KillDirector(usize),
+    /// Sends SIGTERM to a director.
+    StopDirector(usize),
+    /// Starts a director that was killed or stopped.
+    StartDirector(usize),
+    /// Starts or ends an outage of the journal service, in which it closes all connections.
+    SetJournalOutage(bool),
+    /// Silences the open connections of the journal service without closing them.
+    SilenceJournal,
+    /// Sends malformed messages to every director.
+    SendMalformedRequests,
+    /// Sets the node to which a faulty director sends everything.
+    SetPreferredNode(usize),
 }
 
-/// A day's plan. Troubles in order of time, in milliseconds.
+/// Plan of a day.
 pub struct Plan {
+    /// Number of directors.
     pub directors: u32,
+    /// Number of nodes.
     pub nodes: u32,
+    /// Time for which viewers send requests.
     pub seconds: u64,
+    /// Seed of all random numbers.
     pub seed: u64,
-    pub lie: Option<Lie>,
-    pub troubles: Vec<(u64, Trouble)>,
+    /// Fault of all directors.
+    pub fault: Option<DirectorFault>,
+    /// Events in order of time, each with its time in milliseconds from the start of the day.
+    pub events: Vec<(u64, DayEvent)>,
 }
 
-/// What came of it.
+/// Result of a day.
 pub struct Outcome {
+    /// Verdict of the audit.
     pub verdict: Verdict,
-    pub odd: Vec<String>,
-    /// When it began, on the clock of the records.
-    pub begun: i64,
-    pub asked: u64,
-    /// Directors that were not there at the end, or did not go when told.
-    pub fallen: Vec<u32>,
-    /// What the directors logged.
+    /// Violations of requirements beyond the rules of the verdict.
+    pub violations: Vec<String>,
+    /// Start of the day on the clock of the records, in microseconds.
+    pub started_at: i64,
+    /// Number of requests of all viewers.
+    pub requests: u64,
+    /// Directors that were not running at the end, or did not exit in time after SIGTERM.
+    pub failed_directors: Vec<u32>,
+    /// Logs of the directors.
     pub logs: String,
 }
 
 struct World {
-    tape: Tape,
+    recorder: Recorder,
     journal: Journal,
     nodes: Vec<Arc<Node>>,
-    list: Vec<Line>,
+    hosts: Vec<HostEntry>,
     directors: Vec<Director>,
     viewers: Vec<Viewers>,
-    liar: Option<Arc<Liar>>,
-    fallen: Vec<u32>,
+    faulty_director: Option<Arc<FaultyDirector>>,
+    failed_directors: Vec<u32>,
 }
 
 impl World {
-    fn begin(binary: &Path, dir: &Path, plan: &Plan) -> io::Result<World> {
-        let tape = Tape::default();
-        let journal = Journal::start(tape.clone(), plan.directors)?;
-        let nodes = (1..=plan.nodes).map(|id| Node::start(id, plan.seed, tape.clone()));
+    fn start(binary: &Path, dir: &Path, plan: &Plan) -> io::Result<World> {
+        let recorder = Recorder::default();
+        let journal = Journal::start(recorder.clone(), plan.directors)?;
+        let nodes = (1..=plan.nodes).map(|id| Node::start(id, plan.seed, recorder.clone()));
         let nodes = nodes.collect::<io::Result<Vec<_>>>()?;
         let ports: Vec<u16> = nodes.iter().map(|n| n.port).collect();
-        let liar = plan.lie.map(|lie| Liar::new(lie, ports));
-        let to_nodes = liar
+        let faulty_director = plan.fault.map(|fault| FaultyDirector::new(fault, ports));
+        let node_relay = faulty_director
             .as_ref()
-            .filter(|_| plan.lie.is_some_and(|l| !l.to_viewers()));
-        let mut list = Vec::new();
+            .filter(|_| plan.fault.is_some_and(|l| !l.affects_viewers()));
+        let mut hosts = Vec::new();
         for node in &nodes {
-            let port = to_nodes.map_or(Ok(node.port), |liar| liar.before(node.port))?;
-            list.push(Line {
+            let port = node_relay.map_or(Ok(node.port), |faulty_director| {
+                faulty_director.start_relay(node.port)
+            })?;
+            hosts.push(HostEntry {
                 node: node.id,
                 port,
                 state: 0,
@@ -101,84 +117,94 @@
                 started: 0,
             });
         }
-        let listens = match liar.as_ref().filter(|l| l.ignores_silence()) {
-            Some(liar) => liar.before_list(journal.port)?,
+        let journal_port = match faulty_director
+            .as_ref()
+            .filter(|l| l.ignores_silent_journal())
+        {
+            Some(faulty_director) => faulty_director.start_list_relay(journal.port)?,
             None => journal.port,
         };
         let (mut directors, mut viewers) = (Vec::new(), Vec::new());
         for number in 0..plan.directors {
-            let mut director = Director::new(binary, dir, number, tape.clone())?;
-            director.start(listens, &list, plan.directors)?;
-            let to_viewers = liar.as_ref().filter(|_| to_nodes.is_none());
-            let port = to_viewers.map_or(Ok(director.port), |liar| liar.before(director.port))?;
-            viewers.push(Viewers::start(number, port, plan.seed, tape.clone()));
+            let mut director = Director::new(binary, dir, number, recorder.clone())?;
+            director.start(journal_port, &hosts, plan.directors)?;
+            let viewer_relay = faulty_director.as_ref().filter(|_| node_relay.is_none());
+            let port = viewer_relay.map_or(Ok(director.port), |faulty_director| {
+                faulty_director.start_relay(director.port)
+            })?;
+            viewers.push(Viewers::start(number, port, plan.seed, recorder.clone()));
             directors.push(director);
         }
         Ok(World {
-            tape,
+            recorder,
             journal,
             nodes,
-            list,
+            hosts,
             directors,
             viewers,
-            liar,
-            fallen: Vec::new(),
+            faulty_director,
+            failed_directors: Vec::new(),
         })
     }
 
-    fn happen(&mut self, trouble: Trouble) -> io::Result<()> {
-        match trouble {
-            Trouble::Drain(n) => self.journal.tell(
-                Line {
+    fn apply(&mut self, event: DayEvent) -> io::Result<()> {
+        match event {
+            DayEvent::DrainNode(n) => self.journal.publish(
+                HostEntry {
                     state: 1,
-                    ..self.list[n]
+                    ..self.hosts[n]
                 },
                 None,
             ),
-            Trouble::Gone(n) => self.journal.tell(
-                Line {
+            DayEvent::RemoveNode(n) => self.journal.publish(
+                HostEntry {
                     state: 2,
-                    ..self.list[n]
+                    ..self.hosts[n]
                 },
                 None,
             ),
-            Trouble::Die(n) => self.nodes[n].die(),
-            Trouble::Back(n) => {
-                let up = self.nodes[n].live(false)?;
-                self.journal.tell(
-                    Line {
-                        started: up as u64 / 1000,
-                        ..self.list[n]
+            DayEvent::KillNode(n) => self.nodes[n].stop_process(),
+            DayEvent::RestartNode(n) => {
+                let started_at = self.nodes[n].start_process(false)?;
+                self.journal.publish(
+                    HostEntry {
+                        started: started_at as u64 / 1000,
+                        ..self.hosts[n]
                     },
-                    Some(up),
+                    Some(started_at),
                 );
             }
-            Trouble::Turn(n, mood) => self.nodes[n].mood(mood),
-            Trouble::Kill(d) => {
+            DayEvent::SetNodeBehavior(n, behavior) => self.nodes[n].set_behavior(behavior),
+            DayEvent::KillDirector(d) => {
                 self.viewers[d].paused.store(true, Ordering::Relaxed);
                 self.directors[d].kill();
             }
-            Trouble::Leave(d) if self.liar.as_ref().is_some_and(|l| l.ends_at_once()) => {
+            DayEvent::StopDirector(d)
+                if self
+                    .faulty_director
+                    .as_ref()
+                    .is_some_and(|l| l.exits_immediately()) =>
+            {
                 self.directors[d].crash()
             }
-            Trouble::Leave(d) => {
-                // The front has taken it out: its viewers ask it no more.
+            DayEvent::StopDirector(d) => {
+                // A director that shuts down is out of rotation, so its viewers send no more requests.
                 self.viewers[d].paused.store(true, Ordering::Relaxed);
                 thread::sleep(Duration::from_millis(200));
-                if !self.directors[d].leave(LEAVES) {
-                    self.fallen.push(d as u32);
+                if !self.directors[d].stop_gracefully(SHUTDOWN_TIMEOUT) {
+                    self.failed_directors.push(d as u32);
                 }
             }
-            Trouble::Start(d) => {
+            DayEvent::StartDirector(d) => {
                 let directors = self.directors.len() as u32;
-                self.directors[d].start(self.journal.port, &self.list, directors)?;
+                self.directors[d].start(self.journal.port, &self.hosts, directors)?;
                 self.viewers[d].paused.store(false, Ordering::Relaxed);
             }
-            Trouble::JournalHush => self.journal.hush(),
-            Trouble::JournalAway(away) => self.journal.away(away),
-            Trouble::Noise => {
+            DayEvent::SilenceJournal => self.journal.silence(),
+            DayEvent::SetJournalOutage(is_down) => self.journal.set_outage(is_down),
+            DayEvent::SendMalformedRequests => {
                 for director in &self.directors {
-                    for noise in [
+                    for bytes in [
                         &b"{\"verb\":\"START\",\"tag\":\n"[..],
                         &[b'x'; 40_000],
                         b"{\"verb\":\"ST",
@@ -187,61 +213,61 @@
                         else {
                             continue;
                         };
-                        let _ = stream.write_all(noise);
+                        let _ = stream.write_all(bytes);
                     }
                 }
             }
-            Trouble::Favour(n) => {
-                self.liar
-                    .iter()
-                    .for_each(|liar| liar.favoured.store(n, Ordering::Relaxed));
+            DayEvent::SetPreferredNode(n) => {
+                self.faulty_director.iter().for_each(|faulty_director| {
+                    faulty_director.preferred_node.store(n, Ordering::Relaxed)
+                });
             }
         }
         Ok(())
     }
 }
 
-/// Plays a day with processes of the program in `binary`; their files and logs go to `dir`.
+/// Runs a day with processes of the program `binary`. Their settings and logs are written to `dir`.
 pub fn play(binary: &Path, dir: &Path, plan: &Plan) -> io::Result<Outcome> {
-    let mut world = World::begin(binary, dir, plan)?;
-    let begun = Instant::now();
-    world.tape.open().begun = now();
-    for (at, trouble) in &plan.troubles {
-        thread::sleep(Duration::from_millis(*at).saturating_sub(begun.elapsed()));
-        world.happen(*trouble)?;
+    let mut world = World::start(binary, dir, plan)?;
+    let started_at = Instant::now();
+    world.recorder.lock().started_at = now();
+    for (at, event) in &plan.events {
+        thread::sleep(Duration::from_millis(*at).saturating_sub(started_at.elapsed()));
+        world.apply(*event)?;
     }
-    thread::sleep(Duration::from_secs(plan.seconds).saturating_sub(begun.elapsed()));
+    thread::sleep(Duration::from_secs(plan.seconds).saturating_sub(started_at.elapsed()));
     world
         .viewers
         .iter()
         .for_each(|v| v.paused.store(true, Ordering::Relaxed));
-    thread::sleep(SETTLE);
-    let mut fallen = world.fallen.clone();
+    thread::sleep(SETTLE_TIME);
+    let mut failed_directors = world.failed_directors.clone();
     for director in &mut world.directors {
-        if !director.runs() {
-            fallen.push(director.number);
+        if !director.is_running() {
+            failed_directors.push(director.number);
         }
     }
-    // Judged before they end: who is told to end at the same time is no part of the day.
-    let (verdict, odd) = world.tape.judged(&rules());
-    let asked = world
+    // Audited before the directors are killed, because the shutdown of all at once is not part of the day.
+    let (verdict, violations) = world.recorder.audit(&rules());
+    let requests = world
         .viewers
         .iter()
-        .map(|v| v.asked.load(Ordering::Relaxed))
+        .map(|v| v.request_count.load(Ordering::Relaxed))
         .sum();
     world.directors.iter_mut().for_each(Director::kill);
-    world.viewers.iter_mut().for_each(Viewers::end);
+    world.viewers.iter_mut().for_each(Viewers::stop);
     let logs = world
         .directors
         .iter()
-        .map(|d| std::fs::read_to_string(d.log()).unwrap_or_default());
-    let begun = world.tape.open().begun;
+        .map(|d| std::fs::read_to_string(d.log_path()).unwrap_or_default());
+    let started_at = world.recorder.lock().started_at;
     Ok(Outcome {
         verdict,
-        odd,
-        begun,
-        asked,
-        fallen,
+        violations,
+        started_at,
+        requests,
+        failed_directors,
         logs: logs.collect(),
     })
 }
--- a/tests/rung_changes.rs
+++ b/tests/rung_changes.rs
@@ -1,4 +1,4 @@
-//! When playing sessions are downgraded for a shortage, and when they are upgraded.
+//! Downgrades of playing sessions for a shortage, and upgrades.
 
 mod common;
 
@@ -11,19 +11,23 @@
     Timestamp,
 };
 
-/// One server, and a session that plays there: the director, the server and the rung.
+/// A director with one server and a playing session; returns the director, the server and the session's rung.
 fn playing_session(settings: Settings) -> (DirectorHarness, ServerId, usize) {
     let mut harness = DirectorHarness::new(settings, 1);
     let out = harness.request_session(1, IDEMPOTENT);
     let server = attempted_server(&out).unwrap();
-    let at = chosen_rung(&out).unwrap();
+    let rung = chosen_rung(&out).unwrap();
     harness.start_session(1, 0, server);
     harness.report_utilization(1, server, 0.2, 0.1);
-    (harness, server, at)
+    (harness, server, rung)
 }
 
-/// One server, and on it a session that was transferred at this rung.
-fn transferred_session(settings: Settings, class: usize, at: usize) -> (DirectorHarness, ServerId) {
+/// A director with one server and a session that was transferred at this rung.
+fn transferred_session(
+    settings: Settings,
+    class: usize,
+    rung: usize,
+) -> (DirectorHarness, ServerId) {
     let mut harness = DirectorHarness {
         director: Director::new(1, settings, Timestamp::ZERO + 60 * SECOND),
         now: Timestamp::ZERO + 60 * SECOND,
@@ -31,11 +35,11 @@
     harness.update_endpoints(EndpointUpdate::Full, vec![endpoint(1)]);
     let server = ServerId(1);
     harness.transfer(1, class, server);
-    harness.notify(1, server, Notification::CurrentRung(at));
+    harness.notify(1, server, Notification::CurrentRung(rung));
     (harness, server)
 }
 
-/// A server reports each second that it delivers short.
+/// Reports a shortage once per second and returns all actions.
 fn report_shortage(
     harness: &mut DirectorHarness,
     server: ServerId,
@@ -52,7 +56,8 @@
 
 #[test]
 fn a_shortage_changes_no_rung_before_it_has_cost_as_much_as_a_change() {
-    // At 0.6 points for a point, 0.6 costs 0.23 s of utility a report; a change of rung costs 0.5 s.
+    // With a stall penalty of 0.6, a delivered fraction of 0.6 costs 0.23 s of utility per report. A change of rung
+    // costs 0.5 s.
     let cheap_stalls = Settings {
         stall_penalty: 0.6,
         ..settings()
@@ -63,7 +68,7 @@
         None
     );
     assert!(chosen_rung(&report_shortage(&mut harness, server, 0.6, 1)).is_some());
-    // Cleared in between, it begins anew; where the price of a shortage is unknown, nothing changes.
+    // Full delivery resets the accumulated cost. If the cost of a shortage is unknown, there are no downgrades.
     let (mut harness, server, _) = playing_session(cheap_stalls);
     for _ in 0..5 {
         assert_eq!(
@@ -88,22 +93,22 @@
 
 #[test]
 fn a_lasting_shortage_downgrades_by_one_rung_and_waits_for_the_effect() {
-    let (mut harness, server, at) = playing_session(settings());
+    let (mut harness, server, rung) = playing_session(settings());
     let out = report_shortage(&mut harness, server, 0.6, 2);
     let downgrades = out
         .iter()
         .filter(|a| matches!(a, Action::SetRung { .. }))
         .count();
-    assert_eq!((downgrades, chosen_rung(&out)), (1, Some(at - 1)));
+    assert_eq!((downgrades, chosen_rung(&out)), (1, Some(rung - 1)));
     assert!(
         chosen_rung(&report_shortage(&mut harness, server, 0.6, 2)).is_some(),
-        "it lasts: once more"
+        "a second downgrade, since the shortage lasts"
     );
 }
 
 #[test]
-fn many_directors_with_one_session_each_free_together_what_is_missing_not_several_times_as_much() {
-    // slniecko-parents-later big-1: each downgraded its one session, and uplinks went from 123% to 60%.
+fn many_directors_with_one_session_each_free_no_more_than_needed() {
+    // When each director downgraded its one session, uplink utilization dropped from 123% to 60%.
     let downgraded = |delivered: f64| {
         let is_downgraded = |seed: &u64| {
             let mut harness = DirectorHarness {
@@ -117,21 +122,22 @@
         };
         (0..200).filter(is_downgraded).count()
     };
-    // From 700 to 400 kB/s frees 43%; 0.9 misses 7%, and twice that is freed: a third of the sessions.
+    // Downgrading from 700 to 400 kB/s frees 43% of the rate. A delivered fraction of 0.9 misses 7%, twice of which is
+    // freed: a third of the sessions.
     assert!((40..100).contains(&downgraded(0.9)), "{}", downgraded(0.9));
     assert_eq!(downgraded(0.5), 200);
 }
 
 #[test]
 fn a_downgraded_session_is_reconsidered_after_every_interval() {
-    let (mut harness, server, at) = playing_session(settings());
+    let (mut harness, server, rung) = playing_session(settings());
     for _ in 0..2 {
         assert_eq!(
             chosen_rung(&report_shortage(&mut harness, server, 0.6, 2)),
-            Some(at - 1)
+            Some(rung - 1)
         );
         harness.notify(1, server, Notification::DeliveredFraction(1.0));
-        for (wait, want) in [(2 * SECOND, None), (6 * SECOND, Some(at))] {
+        for (wait, want) in [(2 * SECOND, None), (6 * SECOND, Some(rung))] {
             harness.now += wait;
             harness.report_utilization(1, server, 0.12, 0.06);
             assert_eq!(chosen_rung(&harness.fire_tick()), want);
@@ -142,7 +148,7 @@
 }
 
 #[test]
-fn no_downgrade_goes_under_the_lowest_rung() {
+fn no_downgrade_goes_below_the_lowest_rung() {
     let (mut harness, server) = transferred_session(settings(), AT_MOST_ONCE, 1);
     assert_eq!(
         chosen_rung(&report_shortage(&mut harness, server, 0.3, 20)),
@@ -152,21 +158,22 @@
 
 #[test]
 fn a_transferred_session_is_reconsidered_once_reports_are_in() {
-    // Days began with all transferred sessions at the lowest rung on links a third full, and stayed so.
+    // Transferred sessions stayed at the lowest rung although their links were only a third full.
     let (mut harness, server) = transferred_session(settings(), IDEMPOTENT, 0);
     assert_eq!(
         chosen_rung(&harness.fire_tick()),
         None,
-        "nothing is known yet"
+        "there are no reports yet"
     );
     harness.report_utilization(1, server, 0.02, 0.01);
     assert_eq!(chosen_rung(&harness.fire_tick()), Some(4));
-    assert_eq!(chosen_rung(&harness.fire_tick()), None, "once");
+    assert_eq!(chosen_rung(&harness.fire_tick()), None, "only once");
 }
 
 #[test]
 fn a_transferred_session_is_upgraded_only_as_far_as_all_others_there_can_be() {
-    // Incident ie84c1c: all directors saw links a third full of lowest rungs and filled them at once.
+    // All directors saw links a third full with sessions at the lowest rung, and upgraded at the same time until the
+    // links were overloaded (incident ie84c1c).
     let (mut harness, server) = transferred_session(settings(), IDEMPOTENT, 0);
     harness.report_utilization(1, server, 0.3, 0.15);
     assert!(chosen_rung(&harness.fire_tick()).is_some_and(|r| (1..4).contains(&r)));
@@ -174,7 +181,7 @@
 
 #[test]
 fn a_transferred_session_keeps_its_rung_on_a_full_link_or_near_its_end() {
-    for (share, hint, want) in [
+    for (utilization, hint, want) in [
         (0.99, 40 * SECOND, None),
         (0.02, SECOND / 10, None),
         (0.02, 40 * SECOND, Some(4)),
@@ -187,23 +194,23 @@
             ..viewer_request(1, IDEMPOTENT, harness.now)
         };
         harness.handle(Event::SessionTransferred(request, ServerId(1)));
-        harness.report_utilization(1, ServerId(1), share, share / 2.0);
+        harness.report_utilization(1, ServerId(1), utilization, utilization / 2.0);
         assert_eq!(
             chosen_rung(&harness.fire_tick()),
             want,
-            "at {share} with {hint:?} left"
+            "at {utilization} with {hint:?} left"
         );
     }
 }
 
 #[test]
-fn a_sessions_rung_is_kept_on_a_full_link_and_upgraded_when_that_has_emptied() {
-    // Scene 'falls': sessions begun in a crowd kept its rung to their end, a minute after it was gone.
+fn a_sessions_rung_is_kept_on_a_full_link_and_upgraded_after_its_load_drops() {
+    // Sessions started in a burst kept their low rung for a minute after the burst (simulated scene 'falls').
     let mut harness = DirectorHarness::new(settings(), 1);
     let server = ServerId(1);
     harness.notify(99, server, Notification::LinkUtilization(0.88));
-    let at = chosen_rung(&harness.request_session(1, IDEMPOTENT)).unwrap();
-    assert!(at < 4);
+    let rung = chosen_rung(&harness.request_session(1, IDEMPOTENT)).unwrap();
+    assert!(rung < 4);
     harness.start_session(1, 0, server);
     for _ in 0..10 {
         harness.now += SECOND;
@@ -213,13 +220,13 @@
     for _ in 0..3 {
         harness.report_utilization(1, server, 0.04, 0.02);
     }
-    assert!(chosen_rung(&harness.fire_tick()).is_some_and(|r| r > at));
+    assert!(chosen_rung(&harness.fire_tick()).is_some_and(|r| r > rung));
 }
 
-/// Seen on sockets: the transfer of sessions that played before the start comes some milliseconds after it. Taken for
-/// sessions set up since, they looked like a crowd, and the first 3 s of a director got the lowest rung.
+/// Sessions that played before a director's start are transferred some milliseconds after it. If they counted as new
+/// sessions, they would look like a burst, and requests in the first 3 s would get the lowest rung.
 #[test]
-fn sessions_transferred_late_are_no_crowd() {
+fn sessions_transferred_late_do_not_count_as_a_burst() {
     let rung_after = |late: TimeDelta| {
         let mut settings = settings();
         settings.rules.warm_up = TimeDelta::ZERO;
